--- a/tests/cellworld.py
+++ b/tests/cellworld.py
@@ -91,7 +91,7 @@
         if tells_lapses and earlier is not None:
             self.owner.take_lapses(earlier.list_lapses())
         if is_known_gone:
-            self.owner.end_earlier(self.now)
+            self.owner.note_earlier_owners_gone(self.now)
 
     def put_limits(self, **cores_by_name):
         """Put a version in force in which workspaces may have so many cores."""
--- a/tests/worldcalls.py
+++ b/tests/worldcalls.py
@@ -8,7 +8,7 @@
 
 from standins import leased_worker
 from tests import worldlives
-from thornport.cell.decisions import lives, messages
+from thornport.cell.decisions import incarnations, messages
 
 # Starts of a task that crashes its workers: once three have crashed, two more are
 # allowed, by the users.
@@ -209,7 +209,7 @@
         worker = self.workers_by_id.get(worker_id)
         if worker is not None and worker not in self._connected:
             # On a new connection, as the processes do it.
-            request, wait_s = lives.trim_first_look(request), 0.0
+            request, wait_s = incarnations.trim_first_poll(request), 0.0
         if wait_s and worker is not None and worker_id not in self.cut:
             worker.hold(request, self.now)
         return OpenLook(request, self.now, self.now + wait_s)
--- a/thornport/cell/decisions/batches.py
+++ b/thornport/cell/decisions/batches.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from thornport.cell.decisions import (
+    incarnations,
     leases,
-    lives,
     messages,
     model,
     notes,
@@ -58,7 +58,7 @@
     closed_by_job: dict[str, bytes] = {}
 
 
-class Batches(lives.Lives, ticketing.Ticketing):
+class Batches(incarnations.Incarnations, ticketing.Ticketing):
     """Makes the batches and sends the starts that they keep."""
 
     def make_batch(self):
--- a/thornport/cell/decisions/cellstate.py
+++ b/thornport/cell/decisions/cellstate.py
@@ -64,7 +64,7 @@
         # model.ListedWorkers of services that no configuration names.
         self._unnamed_by_id = {}
         self._next_order = 0
-        self._last_fence = 0  # of the lives of workers that were met; see `lives`
+        self._last_fence = 0  # of the newest incarnation; see `incarnations`
         self._recent_losses = collections.deque(maxlen=KEPT_LOSSES)
         # Workers to which a task that may crash them was sent; see `crashes`.
         self._trial_ids = set()
@@ -87,7 +87,7 @@
         # Jobs that are being kept, and jobs whose end is not decided.
         self._incoming_by_id = {}
         # learning.EarlyWords while the records are read, in order; None else.
-        self._early_word = None
+        self._deferred_updates = None
         self._unended_by_id = {}
         # Whether waits under owners before are restored: the first tick tells the date.
         self._has_ticked = False
--- a/thornport/cell/decisions/ending.py
+++ b/thornport/cell/decisions/ending.py
@@ -235,7 +235,7 @@
             may come late and then tells of the life before the one that answers.
         """
         self.workers_by_id.pop(worker.worker_id, None)
-        self._note_life_over(worker, how)
+        self._note_incarnation_over(worker, how)
         self._forget_advice(worker.worker_id)
         loss = crashes.note_loss(worker, now)
         had_life = worker.is_heard or worker.runs_by_key
@@ -251,9 +251,9 @@
             for step in job.steps_by_key.values():
                 step.forget_worker(worker_id)
 
-    def _note_life_over(self, worker, how, next_started_at_ms=None):
+    def _note_incarnation_over(self, worker, how, next_started_at_ms=None):
         self.notes.append(
-            notes.LifeOver(
+            notes.IncarnationOver(
                 worker.worker_id,
                 worker.entry.address,
                 how,
--- a/thornport/cell/decisions/holds.py
+++ b/thornport/cell/decisions/holds.py
@@ -4,7 +4,14 @@
 all tasks stand still gets no starts for a while.
 """
 
-from thornport.cell.decisions import ending, leases, lives, messages, model, notes
+from thornport.cell.decisions import (
+    ending,
+    incarnations,
+    leases,
+    messages,
+    model,
+    notes,
+)
 from thornport.jobs import spec as specs
 
 # A look that waits: one whose answer is lost hides ends for this long and a
@@ -30,7 +37,7 @@
 MAX_STALL_SUSPECT_S = 6.0  # a worker on which one task after the other stood still
 
 
-class Holds(lives.Lives):
+class Holds(incarnations.Incarnations):
     """Makes looks at workers and takes the answers."""
 
     def make_hold(self, worker_id, now):
@@ -109,10 +116,10 @@
                 self.end_worker(worker, now, notes.WorkerEnd.LEFT)
             return
         if self._is_restart(worker, answer.started_at_ms):
-            self._meet_life(worker, answer.started_at_ms, now)
+            self._begin_incarnation(worker, answer.started_at_ms, now)
             return
         if not worker.is_heard:
-            self._confirm_life(worker, answer.started_at_ms, now)
+            self._confirm_incarnation(worker, answer.started_at_ms, now)
         if worker.doubted_at is not None and sent_at >= worker.doubted_at:
             worker.doubted_at = None
         worker.clock_ms = answer.clock_ms
@@ -196,7 +203,7 @@
                 self._stop_run(run, now)
 
     def _take_present(self, worker, run, row, now):
-        if lives.is_of_other_life(run, worker):
+        if incarnations.is_of_other_incarnation(run, worker):
             # Its order came after the restart; a successor has to know the same.
             run.worker_started_at_ms = worker.started_at_ms
             if run.key.job_id in self.jobs_by_id:
--- a/thornport/cell/decisions/lives.py
+++ b/thornport/cell/decisions/incarnations.py
@@ -29,7 +29,7 @@
 FENCE_BITS = 16
 
 
-class Lives(ending.Ending):
+class Incarnations(ending.Ending):
     """Tells the lives of workers apart."""
 
     def _make_worker(self, entry, is_listed=True):
@@ -75,7 +75,7 @@
           listed: A model.ListedWorker.
           now: A float.
         """
-        if is_of_life(listed.entry, worker):
+        if is_of_incarnation(listed.entry, worker):
             worker.describe(listed, now)
         elif worker.is_heard:
             worker.other_listed = listed
@@ -100,7 +100,7 @@
             return False
         return started_at_ms != worker.started_at_ms
 
-    def _meet_life(self, worker, started_at_ms, now):
+    def _begin_incarnation(self, worker, started_at_ms, now):
         """Take that another life has a worker's id and address.
 
         Args:
@@ -117,7 +117,7 @@
         later.earlier = worker
         # What was on its way may still begin there, until a look has answered.
         later.unheard_until = now + leases.EARLIER_LEASE_S
-        self._note_life_over(worker, notes.WorkerEnd.RESTARTED, started_at_ms)
+        self._note_incarnation_over(worker, notes.WorkerEnd.RESTARTED, started_at_ms)
         self.workers_by_id[worker.worker_id] = later
         self._carry_runs(worker, later, now)
         self._choose_entry(later, now)
@@ -142,7 +142,7 @@
                 # No order went out, and none will: only RECORDING runs are ordered.
                 self._release_run(run, now)
 
-    def _confirm_life(self, worker, started_at_ms, now):
+    def _confirm_incarnation(self, worker, started_at_ms, now):
         """Take the first answer of a life: what the store says of it may be another's.
 
         Args:
@@ -157,7 +157,7 @@
     def _choose_entry(self, worker, now):
         """Describe a life by its own entry, if that has come already."""
         listed = worker.other_listed
-        if listed is not None and is_of_life(listed.entry, worker):
+        if listed is not None and is_of_incarnation(listed.entry, worker):
             worker.other_listed = None
             worker.is_listed = True
             worker.describe(listed, now)
@@ -177,7 +177,7 @@
         if earlier is None:
             earlier = model.Worker(worker.entry, now, revision=worker.revision)
         earlier.runs_by_key = {
-            run.key: run for run in runs if is_of_other_life(run, worker)
+            run.key: run for run in runs if is_of_other_incarnation(run, worker)
         }
         self._lose_runs(earlier, now, notes.WorkerEnd.RESTARTED)
         for run in runs:
@@ -200,7 +200,7 @@
         self.workers_by_id[later.worker_id] = later
 
 
-def trim_first_look(request):
+def trim_first_poll(request):
     """Make of a look what may be asked of a life that is perhaps not the one meant.
 
     A new connection may reach a worker that has started again since it was last heard.
@@ -216,7 +216,7 @@
     return msgspec.structs.replace(request, last_seen=0, wait_ms=0)
 
 
-def is_of_life(entry, worker):
+def is_of_incarnation(entry, worker):
     """Tell whether an entry is of the life of a worker that is known.
 
     Args:
@@ -229,7 +229,7 @@
     return is_there and entry.started_at_ms == worker.started_at_ms
 
 
-def is_of_other_life(run, worker):
+def is_of_other_incarnation(run, worker):
     """Tell whether a run was ordered at another life than the one that is known.
 
     Args:
--- a/thornport/cell/decisions/lives_test.py
+++ b/thornport/cell/decisions/incarnations_test.py
@@ -20,7 +20,7 @@
 import unittest
 
 from tests import cellworld
-from thornport.cell.decisions import lives, messages, notes
+from thornport.cell.decisions import incarnations, messages, notes
 from thornport.jobs import spec
 
 LONG_MS = 20_000
@@ -224,7 +224,7 @@
 
     def test_owner_that_has_met_too_many_lives_gives_the_cell_up(self):
         world = make_world()
-        for _ in range(2**lives.FENCE_BITS):
+        for _ in range(2**incarnations.FENCE_BITS):
             world.owner.drop_worker("w0", world.now)
             if world.owner.is_fenced:
                 break
--- a/thornport/cell/decisions/learning.py
+++ b/thornport/cell/decisions/learning.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from thornport.cell.decisions import (
+    incarnations,
     leases,
     listing,
-    lives,
     messages,
     model,
     progress,
@@ -21,7 +21,7 @@
 RELIST_S = 2.5
 
 
-class EarlyWord(msgspec.Struct, frozen=True):
+class DeferredUpdate(msgspec.Struct, frozen=True):
     """What a peer told of a job while the records were being read.
 
     Attributes:
@@ -33,12 +33,12 @@
     subject: record.JobRecord | str
 
 
-class Learning(lives.Lives, ticketing.Ticketing):
+class Learning(incarnations.Incarnations, ticketing.Ticketing):
     """Takes in what the store tells, at first and as it changes."""
 
     # Configuration and workers.
 
-    def end_earlier(self, now):
+    def note_earlier_owners_gone(self, now):
         """Take that no earlier owner gives orders any more.
 
         What it renewed last is over within the longest lease.
@@ -212,7 +212,7 @@
 
         A job that comes again may be over, which its record will tell.
         """
-        self._early_word = []
+        self._deferred_updates = []
 
     def end_reading(self, now):
         """All records are read: take what peers told meanwhile.
@@ -220,14 +220,14 @@
         Args:
           now: A float.
         """
-        early, self._early_word = self._early_word, None
+        early, self._deferred_updates = self._deferred_updates, None
         for word in early:
             word.take(word.subject, now)
 
     def accept_incoming(self, job_id, now):
         """Take that a job that was incoming is accepted."""
-        if self._early_word is not None:
-            self._early_word.append(EarlyWord(self.accept_incoming, job_id))
+        if self._deferred_updates is not None:
+            self._deferred_updates.append(DeferredUpdate(self.accept_incoming, job_id))
             return
         job = self._incoming_by_id.get(job_id)
         if job is not None:
@@ -242,8 +242,8 @@
           kept: A record.JobRecord.
           now: A float.
         """
-        if self._early_word is not None:
-            self._early_word.append(EarlyWord(self.take_incoming, kept))
+        if self._deferred_updates is not None:
+            self._deferred_updates.append(DeferredUpdate(self.take_incoming, kept))
             return
         if kept.job_id in self.jobs_by_id or kept.job_id in self._incoming_by_id:
             return
@@ -316,9 +316,9 @@
 
     def take_cancel(self, job_id, now):
         """Take an accepted cancel."""
-        if self._early_word is not None:
+        if self._deferred_updates is not None:
             # The job's progress, which is yet to be read, would undo it.
-            self._early_word.append(EarlyWord(self.take_cancel, job_id))
+            self._deferred_updates.append(DeferredUpdate(self.take_cancel, job_id))
             return
         job = self.jobs_by_id.get(job_id)
         if job is None or job.is_over():
--- a/thornport/cell/decisions/model.py
+++ b/thornport/cell/decisions/model.py
@@ -125,7 +125,7 @@
       entry: Its messages.WorkerEntry; that of an earlier life until its own has come.
       started_at_ms: An int, when it started, by its answers once it is heard; None if
         it does not say.
-      fence: An int that is higher than that of each life met before; see `lives`.
+      fence: An int, higher than that of each incarnation before; see `incarnations`.
       other_listed: A ListedWorker of another life under this id; None if there is none.
       doubted_at: A float, when the store told of another life than the one that
         answers; None once a later look is answered.
--- a/thornport/cell/decisions/notes.py
+++ b/thornport/cell/decisions/notes.py
@@ -77,7 +77,7 @@
     worker_id: str
 
 
-class LifeOver(msgspec.Struct, frozen=True):
+class IncarnationOver(msgspec.Struct, frozen=True):
     """The life of a worker is over.
 
     Attributes:
--- a/thornport/cell/dispatch/carrying.py
+++ b/thornport/cell/dispatch/carrying.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from thornport.cell.decisions import lives, messages
+from thornport.cell.decisions import incarnations, messages
 from thornport.cell.peers import workercalls
 from thornport.kernel import clock, tasks
 
@@ -131,7 +131,7 @@
 def hold(call: messages.HoldRequest, workers):
     """Look at a worker, whichever life of it answers."""
     if not workers.has_looked(call.address):
-        call = lives.trim_first_look(call)
+        call = incarnations.trim_first_poll(call)
     return workers.hold(call)
 
 
--- a/thornport/cell/owner/noting.py
+++ b/thornport/cell/owner/noting.py
@@ -9,7 +9,7 @@
 # Counters of notes.
 NAME_BY_NOTE = {
     notes.RunLost: "runs.lost",
-    notes.LifeOver: "workers.over",
+    notes.IncarnationOver: "workers.over",
     notes.LimitWait: "steps.at_limit",
     notes.StartGivenUp: "starts.given_up",
 }
@@ -43,7 +43,7 @@
 
 
 @log_note.register
-def log_life_over(note: notes.LifeOver):
+def log_incarnation_over(note: notes.IncarnationOver):
     """Log that the life of a worker is over, and what proved it."""
     logs.log(
         "worker-over",
--- a/thornport/cell/owner/owner.py
+++ b/thornport/cell/owner/owner.py
@@ -212,7 +212,7 @@
         self._ledger.earlier = left
         if not left:
             logs.log("earlier-owners-ceased", token=self.core.token)
-            self.core.end_earlier(clock.read_monotonic())
+            self.core.note_earlier_owners_gone(clock.read_monotonic())
 
     def confirm(self):
         """The key seems to be gone: find out, and get it back if it is free."""
