--- a/thornport/cell/decisions/batches.py
+++ b/thornport/cell/decisions/batches.py
@@ -249,7 +249,7 @@
         if run.ticket_until is None:
             run.ticket_until = now + TICKET_WAIT_S
         self._unticketed.setdefault(run.step_key, []).append(run)
-        self.needs_round = True
+        self.needs_pass = True
 
     def _send_start(self, run, now):
         worker = self.workers_by_id[run.worker_id]
--- a/thornport/cell/decisions/cellstate.py
+++ b/thornport/cell/decisions/cellstate.py
@@ -26,7 +26,7 @@
       jobs_by_id, workers_by_id: The state.
       callers: The advising.Callers.
       usage: The usage.Usage of the workspaces.
-      needs_round: Whether a round of placement could start more.
+      needs_pass: Whether a round of placement could start more.
     """
 
     def __init__(self, token, now, earlier_over_at, status_s, overshoot=0.0):
@@ -91,7 +91,7 @@
         self._unended_by_id = {}
         # Whether waits under owners before are restored: the first tick tells the date.
         self._has_ticked = False
-        self.needs_round = False
+        self.needs_pass = False
         # The reserving.Reservations of the last round for all; None before the first.
         self._last_reserved = None
         # Rank and step to which the last round for all did not come first, or None.
--- a/thornport/cell/decisions/core.py
+++ b/thornport/cell/decisions/core.py
@@ -15,13 +15,13 @@
     model,
     notes,
     outcomes,
-    rounds,
+    passes,
     stalls,
 )
 from thornport.jobs import workspace
 from thornport.kernel import clock
 
-ROUND_STEPS = rounds.ROUND_STEPS
+MAX_PASS_STEPS = passes.MAX_PASS_STEPS
 INCOMING_S = 5.0  # a job that is not accepted by then was refused
 LATE_STATUS_S = 10.0  # beyond the time that a job's state is asked for
 
@@ -68,7 +68,7 @@
             if job.record.job.repeats:
                 self._begin_due_times(job, now, wall_ms)
         self._forget_old(now)
-        self.needs_round = True
+        self.needs_pass = True
 
     def _restore_waits(self, now, wall_ms):
         """Take that jobs waited under earlier owners for as long as since they came.
--- a/thornport/cell/decisions/core_test.py
+++ b/thornport/cell/decisions/core_test.py
@@ -214,7 +214,7 @@
             self.assertFalse("h" in jobs and len(jobs) > 1)
 
     def test_steps_that_no_worker_may_run_hold_up_no_others(self):
-        for number in range(core.ROUND_STEPS + 10):
+        for number in range(core.MAX_PASS_STEPS + 10):
             step = cellworld.make_step(1, 1, 100, label="no worker has this")
             self.world.submit(cellworld.make_job(f"n{number}", step))
             too_large = cellworld.make_step(1, 100, 100)
--- a/thornport/cell/decisions/eligibility.py
+++ b/thornport/cell/decisions/eligibility.py
@@ -11,7 +11,7 @@
 TICKET_MARGIN_S = 0.1  # from the decision to the worker: a commit and a call
 
 
-class WorkerHold(enum.Enum):
+class WorkerBlocker(enum.Enum):
     """What keeps a step from a worker that it may run at.
 
     UNLISTED: the store does not list the worker, or it drains.
@@ -50,18 +50,18 @@
       now: A float.
       with_suspects: A bool, whether a suspect one does.
     Returns:
-      A WorkerHold; None if it takes them.
+      A WorkerBlocker; None if it takes them.
     """
     if not worker.is_listed or worker.entry.state is not messages.WorkerState.READY:
-        return WorkerHold.UNLISTED
+        return WorkerBlocker.UNLISTED
     if not worker.is_heard:
-        return WorkerHold.UNHEARD
+        return WorkerBlocker.UNHEARD
     if not worker.is_described():
-        return WorkerHold.UNDESCRIBED
+        return WorkerBlocker.UNDESCRIBED
     if now < worker.avoid_until:
-        return WorkerHold.SILENT
+        return WorkerBlocker.SILENT
     if not with_suspects and now < worker.suspected_until:
-        return WorkerHold.SUSPECT
+        return WorkerBlocker.SUSPECT
     return None
 
 
--- a/thornport/cell/decisions/ending.py
+++ b/thornport/cell/decisions/ending.py
@@ -45,7 +45,7 @@
         if not is_current:
             worker.remove_run(run)
             self.usage.remove(run)
-            self.needs_round = True
+            self.needs_pass = True
             return
         if end.kind is messages.EndKind.DONE and not step.spec.lasting:
             if run.ordered_at is not None and not step.checkpoints_by_index:
@@ -91,7 +91,7 @@
         self._take_done(step, key)
         step.waiting -= step.done
         self._mark(job)
-        self.needs_round = True
+        self.needs_pass = True
         for index, run in list(step.live_by_index.items()):
             if index in step.done:
                 self._stop_run(run, now)
@@ -121,7 +121,7 @@
         worker = self.workers_by_id.get(run.worker_id)
         if worker is not None:
             worker.remove_run(run)
-        self.needs_round = True
+        self.needs_pass = True
         job = self.jobs_by_id.get(run.key.job_id)
         step = self._find_step(run.key)
         if step is None or step.live_by_index.get(run.key.index) is not run:
@@ -195,7 +195,7 @@
             for run in list(step.live_by_index.values()):
                 self._stop_run(run, now)
         self._mark(job)
-        self.needs_round = True
+        self.needs_pass = True
 
     # Stopping runs.
 
--- a/thornport/cell/decisions/explaining.py
+++ b/thornport/cell/decisions/explaining.py
@@ -12,9 +12,9 @@
     crashes,
     eligibility,
     messages,
+    passes,
     placing,
     reserving,
-    rounds,
     stalls,
     ticketing,
     usage,
@@ -118,7 +118,7 @@
     at_limit: int
 
 
-class Explaining(rounds.Rounds):
+class Explaining(passes.Passes):
     """Answers questions about jobs and workspaces."""
 
     def list_workspaces(self):
@@ -164,7 +164,11 @@
             if waited_s * 1000 < job.record.compute_objective_ms():
                 continue
             for step in job.steps_by_key.values():
-                if step.is_told_late or not step.waiting or not self._is_due(job, step):
+                if (
+                    step.is_told_late
+                    or not step.waiting
+                    or not self._are_dependencies_done(job, step)
+                ):
                     continue
                 step.is_told_late = True
                 late.append(self._view_late(job, step, waited_s, now))
@@ -212,7 +216,11 @@
 
     def _is_stalled(self, job, step, now):
         """Whether a step has stood still for long though its service has room."""
-        if not step.waiting or step.idle_since is None or not self._is_due(job, step):
+        if (
+            not step.waiting
+            or step.idle_since is None
+            or not self._are_dependencies_done(job, step)
+        ):
             return False
         if now - step.idle_since < stalls.TOLD_AFTER_S:
             return False
@@ -321,7 +329,7 @@
     def _find_waiting(self, job, step, now):
         if not step.waiting or job.is_over():
             return Waiting.NOTHING
-        if not self._is_due(job, step):
+        if not self._are_dependencies_done(job, step):
             return Waiting.EARLIER_STEPS
         name = job.record.workspace
         if usage.is_too_wide(step, self.usage.read_limit(name)):
--- a/thornport/cell/decisions/holds.py
+++ b/thornport/cell/decisions/holds.py
@@ -134,7 +134,7 @@
             worker.is_heard = True
             self._candidates_by_kind.clear()
             worker.granted_ms = max(worker.granted_ms, worker.clock_ms + leases.HOLD_MS)
-        self.needs_round = True
+        self.needs_pass = True
 
     def _stop_waiting_gangs(self, worker, now):
         """Stop members of gangs that wait elsewhere for one at a worker that refuses.
--- a/thornport/cell/decisions/incarnations.py
+++ b/thornport/cell/decisions/incarnations.py
@@ -85,7 +85,7 @@
             worker.other_listed = model.ListedWorker(worker.entry, worker.revision)
             worker.started_at_ms = listed.entry.started_at_ms
             worker.describe(listed, now)
-        self.needs_round = True
+        self.needs_pass = True
 
     # What the worker says.
 
@@ -122,7 +122,7 @@
         self._carry_runs(worker, later, now)
         self._choose_entry(later, now)
         self._forget_advice(worker.worker_id)
-        self.needs_round = True
+        self.needs_pass = True
 
     def _carry_runs(self, worker, later, now):
         """Have the runs of an ended life in doubt at the one that took its place."""
--- a/thornport/cell/decisions/learning.py
+++ b/thornport/cell/decisions/learning.py
@@ -91,9 +91,9 @@
         self._queues_by_name = {queue.name: queue for queue in config.queues}
         self._config_version = config.version
         self._services = config.list_services()
-        self.usage.take_limits(config.workspaces, self._overshoot)
-        self._shares.take_weights(config.workspaces)
-        self.needs_round = True
+        self.usage.set_limits(config.workspaces, self._overshoot)
+        self._shares.set_weights(config.workspaces)
+        self.needs_pass = True
         waiting, self._unnamed_by_id = self._unnamed_by_id, {}
         for listed in waiting.values():
             self.take_worker(listed.entry, listed.revision, now)
@@ -121,7 +121,7 @@
             worker = self._make_worker(entry)
             worker.describe(listed, now)
             self.workers_by_id[entry.worker_id] = worker
-            self.needs_round = True
+            self.needs_pass = True
         else:
             self._take_entry(worker, listed, now)
 
@@ -186,13 +186,13 @@
         job.worked_until = now
         self.jobs_by_id[kept.job_id] = job
         self._unended_by_id[kept.job_id] = job
-        self.needs_round = True
+        self.needs_pass = True
         return True
 
     def _take_closed(self, kept, now):
         """Take a job that was over before this owner."""
         job = model.JobEntry(kept, self._next_order, now, kept.end_state)
-        self._shares.take_job(kept.workspace, kept.accepted_at_ms)
+        self._shares.charge_job(kept.workspace, kept.accepted_at_ms)
         job.shown_state = kept.end_state
         job.cause = kept.cause
         job.ended_at = now
@@ -202,7 +202,7 @@
     def _make_job(self, kept, now):
         self._next_order += 1
         job = model.JobEntry(kept, self._next_order, now)
-        job.is_owed = self._shares.take_job(kept.workspace, kept.accepted_at_ms)
+        job.is_owed = self._shares.charge_job(kept.workspace, kept.accepted_at_ms)
         if not kept.job.repeats:
             self._begin_time(job, 0)
         return job
@@ -252,7 +252,7 @@
         if queue.advice is None:
             return
         reserved = reserving.Reservations(now)
-        self._renew_lists(now, listing.LISTED_S)
+        self._renew_lists(now, listing.MAX_LIST_AGE_S)
         for step in list(job.steps_by_key.values()):
             may_start = self.usage.count_startable(step, kept.workspace)
             if not step.spec.after and may_start:
@@ -261,7 +261,7 @@
                 self._ask_advice(step, queue, candidates, reserved, need, now)
         # The others wait for a round, behind what has waited already.
         self._make_wanted_calls(now, only_urgent=True)
-        self.needs_round = True
+        self.needs_pass = True
 
     def _begin_time(self, job, time):
         for number in range(len(job.record.job.steps)):
--- a/thornport/cell/decisions/listing.py
+++ b/thornport/cell/decisions/listing.py
@@ -10,7 +10,7 @@
 # Maximum age of a list that rounds for urgent steps, and jobs that come, may use: in a
 # cell of thousands more jobs come than lists can be made. Rounds for all steps make new
 # lists.
-LISTED_S = 0.1
+MAX_LIST_AGE_S = 0.1
 
 
 class Listing(cellstate.CellState):
@@ -61,7 +61,7 @@
             self._candidates_by_kind[service] = candidates
         return candidates
 
-    def _is_there(self, worker, candidates, now):
+    def _is_still_eligible(self, worker, candidates, now):
         """Whether a worker that was listed a moment ago still takes tasks."""
         if self.workers_by_id.get(worker.worker_id) is not worker:
             return False
--- a/thornport/cell/decisions/rounds.py
+++ b/thornport/cell/decisions/passes.py
@@ -18,16 +18,16 @@
 )
 from thornport.jobs import record
 
-ROUND_STEPS = 80  # steps tried in a round, to bound its processor time
+MAX_PASS_STEPS = 80  # steps tried in a round, to bound its processor time
 # Of these, the foremost in each round. What can't start is tried there again and again;
 # the others take turns, or what comes behind would wait for as long.
-FOREMOST_STEPS = 60
+TOP_RANKED_STEPS = 60
 # Up to this many of the others are tried first if advice about them has come, since
 # their tickets might lapse before their turn.
-ANSWERED_STEPS = 10
+MAX_ANSWERED_STEPS = 10
 
 
-class Rounds(ticketing.Ticketing):
+class Passes(ticketing.Ticketing):
     """Decides on starts; they go out once their records are kept."""
 
     def place(self, now, only_urgent=False):
@@ -38,13 +38,13 @@
           only_urgent: Whether to leave out what is not of the first priority. What is
             placed is the same then, for steps behind take no room from those before.
         """
-        self.needs_round = False
+        self.needs_pass = False
         self._try_steps(now, only_urgent)
         self._make_wanted_calls(now, only_urgent)
 
     def _try_steps(self, now, only_urgent):
         """Start what can start, and note which advice is wanted."""
-        self._renew_lists(now, listing.LISTED_S if only_urgent else 0.0)
+        self._renew_lists(now, listing.MAX_LIST_AGE_S if only_urgent else 0.0)
         self._renew_late(now)
         reserved = reserving.Reservations(now)
         yields = yielding.Yielding(now)
@@ -53,15 +53,15 @@
         if not only_urgent:
             self._last_reserved = reserved
             resumed_at, self._resume_at = self._resume_at, None
-            ready = take_turns(ready, resumed_at, self._rank)
+            ready = order_for_pass(ready, resumed_at, self._rank)
         for job, step in ready:
-            if tried >= ROUND_STEPS:
+            if tried >= MAX_PASS_STEPS:
                 if not only_urgent:
                     self._resume_at = self._rank((job, step)), step
                 return
             step.is_answered = False
             queue = self._queue_of(job)
-            if yields.gives_way(job, queue):
+            if yields.must_yield(job, queue):
                 continue
             startable = self.usage.count_startable(step, job.record.workspace)
             self._note_limit(job, step, is_waiting=not startable)
@@ -69,12 +69,12 @@
                 # It waits for its workspace, so it asks nothing of the workers.
                 continue
             candidates = self._try_step(job, step, queue, reserved, startable, now)
-            tried += self._may_hold(step, candidates, now)
+            tried += self._may_fit(step, candidates, now)
             is_full = not self.usage.count_startable(step, job.record.workspace)
             if step.waiting and not is_full and reserved.may_reserve():
                 starts_at = self._reserve(step, queue, candidates, reserved, now)
                 if step.spec.gang and starts_at is not None:
-                    yields.note_waiting(queue, candidates.workers)
+                    yields.note_waiting_gang(queue, candidates.workers)
 
     def _try_step(self, job, step, queue, reserved, startable, now):
         """Start what can start of a step; else ask where it may run.
@@ -90,7 +90,7 @@
         )
         is_overdue = not started and self._is_overdue(job, step, queue, candidates, now)
         if is_overdue:
-            reserved.let_pass(step)
+            reserved.exempt(step)
             candidates = self._find_candidates(step, queue, now, with_suspects=True)
             if not step.spec.gang and not step.spec.lasting:
                 # One task is enough; the others leave the room as before.
@@ -100,17 +100,17 @@
             )
         if step.key not in self._unticketed:
             self._wanted_calls.discard(step.key)
-        if started < startable and self._may_hold(step, candidates, now):
+        if started < startable and self._may_fit(step, candidates, now):
             need = self._find_need(queue, is_overdue)
             self._ask_to_start(step, queue, candidates, reserved, need, now)
         return candidates
 
-    def _may_hold(self, step, candidates, now):
+    def _may_fit(self, step, candidates, now):
         """Whether any of the workers may have room for a task of a step.
 
         What none has room for costs a comparison, and holds up nothing.
         """
-        return self._listed_at < now or candidates.may_hold(step.spec.demand)
+        return self._listed_at < now or candidates.may_fit(step.spec.demand)
 
     def _is_overdue(self, job, step, queue, candidates, now):
         """Whether a step may use room reserved for others, and suspect workers.
@@ -157,7 +157,7 @@
             steps = [
                 step
                 for step in job.steps_by_key.values()
-                if step.waiting and self._is_due(job, step)
+                if step.waiting and self._are_dependencies_done(job, step)
             ]
             if not steps:
                 continue
@@ -172,7 +172,7 @@
         """Rank a pair of a job and a step: the lowest is placed first."""
         return self._rank_job(ready[0])
 
-    def _is_due(self, job, step):
+    def _are_dependencies_done(self, job, step):
         return all(
             job.steps_by_key[
                 messages.StepKey(job.job_id, step.key.time, number)
@@ -186,9 +186,9 @@
         Returns:
           A float, when it is expected to start; None if that is not known.
         """
-        if not reserving.is_wide(step, candidates.usual_total):
+        if not reserving.is_wide(step, candidates.median_total):
             return None
-        reserved.note_try()
+        reserved.count_try()
         if queue.advice is None:
             return reserved.reserve(step, candidates.workers)
         good = eligibility.list_good(step, candidates)
@@ -200,13 +200,13 @@
         self, job, step, queue, candidates, reserved, startable, now, is_overdue=False
     ):
         """Start tasks of a step where it may run; an int, how many were started."""
-        if not self._may_hold(step, candidates, now):
+        if not self._may_fit(step, candidates, now):
             return 0
         if queue.advice is None:
             workers = candidates.workers
         else:
             workers = eligibility.list_ticketed(step, candidates, now)
-        workers = [w for w in workers if self._is_there(w, candidates, now)]
+        workers = [w for w in workers if self._is_still_eligible(w, candidates, now)]
         if not workers:
             return 0
         if step.crash_points_by_index:
@@ -266,7 +266,7 @@
                 worker_started_at_ms=worker.started_at_ms,
             )
             step.live_by_index[assignment.index] = run
-            reserved.take_room(step, worker)
+            reserved.note_placed(step, worker)
             self._hold_room(worker, run)
             if assignment.index in step.crash_points_by_index:
                 worker.trial = run
@@ -283,7 +283,7 @@
         return len(assigned)
 
 
-def take_turns(ready, resumed_at, rank):
+def order_for_pass(ready, resumed_at, rank):
     """Order steps for a round: the foremost, then from where the last one ended.
 
     Between these go some steps about which advice has come since their last turn.
@@ -296,10 +296,10 @@
     Returns:
       A list of the pairs.
     """
-    if resumed_at is None or len(ready) <= ROUND_STEPS:
+    if resumed_at is None or len(ready) <= MAX_PASS_STEPS:
         return ready
     at, resumed = resumed_at
-    begin = bisect.bisect_left(ready, at, lo=FOREMOST_STEPS, key=rank)
+    begin = bisect.bisect_left(ready, at, lo=TOP_RANKED_STEPS, key=rank)
     # The steps of a job have one rank; one that is not ready any more is passed over.
     for number in range(begin, len(ready)):
         if rank(ready[number]) != at:
@@ -307,9 +307,9 @@
         if ready[number][1] is resumed:
             begin = number
             break
-    others = ready[begin:] + ready[FOREMOST_STEPS:begin]
-    answered = [pair for pair in others if pair[1].is_answered][:ANSWERED_STEPS]
+    others = ready[begin:] + ready[TOP_RANKED_STEPS:begin]
+    answered = [pair for pair in others if pair[1].is_answered][:MAX_ANSWERED_STEPS]
     if answered:
         steps = {pair[1] for pair in answered}
         others = answered + [pair for pair in others if pair[1] not in steps]
-    return ready[:FOREMOST_STEPS] + others
+    return ready[:TOP_RANKED_STEPS] + others
--- a/thornport/cell/decisions/placing.py
+++ b/thornport/cell/decisions/placing.py
@@ -41,10 +41,10 @@
     """
 
     __slots__ = (
+        "_median_total",
         "_memory_mb",
         "_millicores",
         "_used_share",
-        "_usual_total",
         "by_id",
         "has_suspects",
         "workers",
@@ -63,20 +63,20 @@
         frees = [worker.compute_free() for worker in workers]
         self._millicores = max((free.millicores for free in frees), default=-1)
         self._memory_mb = max((free.memory_mb for free in frees), default=-1)
-        self._usual_total = None
+        self._median_total = None
         self._used_share = None
 
     @property
-    def usual_total(self):
+    def median_total(self):
         """Demand, what the worker in the middle has by its cores."""
-        if self._usual_total is None:
+        if self._median_total is None:
             totals = sorted(
                 (worker.entry.total for worker in self.workers),
                 key=lambda total: total.millicores,
             )
             middle = len(totals) // 2
-            self._usual_total = totals[middle] if totals else spec.Demand()
-        return self._usual_total
+            self._median_total = totals[middle] if totals else spec.Demand()
+        return self._median_total
 
     @property
     def used_share(self):
@@ -98,7 +98,7 @@
         """Sum the room of all workers, as the function of this name does."""
         return sum_room(self.workers)
 
-    def may_hold(self, demand):
+    def may_fit(self, demand):
         """Tell whether a task could fit, by the most room that there was.
 
         Args:
@@ -150,20 +150,20 @@
       A list of Assignment; for a gang, of all its tasks or of none.
     """
     if not step.spec.gang:
-        return fill(step, workers, reserved, wants_fast, indexes)
+        return assign_tasks(step, workers, reserved, wants_fast, indexes)
     if step.live_by_index:
         return []
     if step.spec.same_rack:
         for rack in sorted({worker.entry.rack for worker in workers}):
             within = [worker for worker in workers if worker.entry.rack == rack]
-            assigned = fill(step, within, reserved, wants_fast)
+            assigned = assign_tasks(step, within, reserved, wants_fast)
             if len(assigned) == step.spec.count:
                 return assigned
-    assigned = fill(step, workers, reserved, wants_fast)
+    assigned = assign_tasks(step, workers, reserved, wants_fast)
     return assigned if len(assigned) == step.spec.count else []
 
 
-def fill(step, workers, reserved, wants_fast=False, indexes=None):
+def assign_tasks(step, workers, reserved, wants_fast=False, indexes=None):
     """Assign waiting tasks, each to the best worker that has room.
 
     Args:
@@ -175,24 +175,24 @@
     """
     demand = step.spec.demand
     limit = step.spec.max_per_worker or step.spec.count
-    held_by_id = count_held(step) if step.spec.max_per_worker else {}
+    live_by_id = count_live_by_worker(step) if step.spec.max_per_worker else {}
     places = []
     for worker in workers:
-        free = reserved.limit_room(step, worker)
+        free = reserved.compute_usable_room(step, worker)
         # The workers were listed before others of this round were placed.
         if not demand.fits(free) or eligibility.disturbs(step, worker):
             continue
-        if held_by_id.get(worker.worker_id, 0) < limit:
+        if live_by_id.get(worker.worker_id, 0) < limit:
             preference = compute_preference(step, worker, wants_fast)
             places.append(Place(preference, free.rank_room(), worker.worker_id, free))
     heapq.heapify(places)
     assigned = []
     for index in sorted(step.waiting) if indexes is None else indexes:
-        best = take_best(places, step.avoided_by_index.get(step.index_for(index), ()))
+        best = pop_best(places, step.avoided_by_index.get(step.index_for(index), ()))
         if best is None:
             break
         assigned.append(Assignment(index, best.worker_id))
-        held = held_by_id[best.worker_id] = held_by_id.get(best.worker_id, 0) + 1
+        held = live_by_id[best.worker_id] = live_by_id.get(best.worker_id, 0) + 1
         left = best.free.subtract(demand)
         if held < limit and demand.fits(left):
             place = Place(best.preference, left.rank_room(), best.worker_id, left)
@@ -200,7 +200,7 @@
     return assigned
 
 
-def take_best(places, avoided):
+def pop_best(places, avoided):
     """Take the best place for one task.
 
     Args:
@@ -224,12 +224,12 @@
     return best
 
 
-def count_held(step):
+def count_live_by_worker(step):
     """Count the live runs of a step by worker id."""
-    held_by_id = {}
+    live_by_id = {}
     for run in step.live_by_index.values():
-        held_by_id[run.worker_id] = held_by_id.get(run.worker_id, 0) + 1
-    return held_by_id
+        live_by_id[run.worker_id] = live_by_id.get(run.worker_id, 0) + 1
+    return live_by_id
 
 
 def compute_preference(step, worker, wants_fast):
@@ -262,13 +262,13 @@
     """
     wanted = tasks or (step.spec.count if step.spec.gang else 1)
     limit = step.spec.max_per_worker or step.spec.count
-    held_by_id = count_held(step) if step.spec.max_per_worker else {}
+    live_by_id = count_live_by_worker(step) if step.spec.max_per_worker else {}
     places = 0
     for worker in workers:
         if eligibility.disturbs(step, worker):
             continue
-        most = limit - held_by_id.get(worker.worker_id, 0)
-        free = reserved.limit_room(step, worker)
+        most = limit - live_by_id.get(worker.worker_id, 0)
+        free = reserved.compute_usable_room(step, worker)
         places += step.spec.demand.count_in(free, most)
         if places >= wanted:
             return True
--- a/thornport/cell/decisions/reserving.py
+++ b/thornport/cell/decisions/reserving.py
@@ -17,10 +17,10 @@
 # as tasks end.
 WIDE_SHARE = 0.25
 # Wide steps that get workers in a round: the rest of a small cell stays for others.
-MAX_STEPS = 8
+MAX_RESERVING_STEPS = 8
 # Wide steps that are tried for it, to bound the time of a round: of many that no worker
 # may run, or that wait for their advice, the first would be tried in each round.
-MAX_TRIED = 40
+MAX_TRIED_STEPS = 40
 # A run that should be over by its estimate is taken to end within this share of it.
 OVERDUE_SHARE = 0.25
 STOPPING_S = 0.3  # a stop takes some tenths of a second
@@ -49,8 +49,8 @@
     """The room that is kept in one round."""
 
     __slots__ = (
+        "_exempt_step",
         "_now",
-        "_passing",
         "_releases_by_worker",
         "_reservation_by_worker",
         "_step_count",
@@ -68,25 +68,25 @@
         self._releases_by_worker = {}
         self._step_count = 0
         self._tried = 0
-        self._passing = None
+        self._exempt_step = None
 
     def may_reserve(self):
         """Whether a further step may get workers."""
-        return self._step_count < MAX_STEPS and self._tried < MAX_TRIED
+        return self._step_count < MAX_RESERVING_STEPS and self._tried < MAX_TRIED_STEPS
 
-    def note_try(self):
+    def count_try(self):
         """Count a step that may get workers."""
         self._tried += 1
 
-    def let_pass(self, step):
+    def exempt(self, step):
         """Let a step use the room that is kept for others; one step at a time.
 
         Args:
           step: A model.StepState; None for none.
         """
-        self._passing = step
+        self._exempt_step = step
 
-    def limit_room(self, step, worker):
+    def compute_usable_room(self, step, worker):
         """Say what room of a worker a step may use now.
 
         Args:
@@ -97,13 +97,13 @@
         """
         free = worker.compute_free()
         kept = self._reservation_by_worker.get(worker.worker_id)
-        if kept is None or step is self._passing:
+        if kept is None or step is self._exempt_step:
             return free
         if self._is_over_by(step, worker, kept.starts_at):
             return free
         return free.limit(kept.spare)
 
-    def take_room(self, step, worker):
+    def note_placed(self, step, worker):
         """Take that a task of a step is placed at a worker.
 
         Args:
@@ -132,11 +132,13 @@
         """
         places = []
         # Kept for more than may be there, room is idle until the step's own tasks end.
-        held_by_id = placing.count_held(step) if step.spec.max_per_worker else {}
+        live_by_id = (
+            placing.count_live_by_worker(step) if step.spec.max_per_worker else {}
+        )
         for worker in workers:
             if worker.worker_id in self._reservation_by_worker:
                 continue
-            held = held_by_id.get(worker.worker_id, 0)
+            held = live_by_id.get(worker.worker_id, 0)
             times = self._list_place_times(step, worker, held)
             places += [(at, worker.worker_id) for at in times]
         places.sort()
@@ -197,7 +199,7 @@
         if releases is None:
             releases = sorted(
                 (
-                    Release(expect_end(run, worker, self._now), run.demand)
+                    Release(predict_end(run, worker, self._now), run.demand)
                     for run in worker.runs_by_key.values()
                     if not run.step.lasting
                 ),
@@ -207,7 +209,7 @@
         return releases
 
 
-def is_wide(step, usual_total):
+def is_wide(step, median_total):
     """Tell whether a step needs room to be kept for it.
 
     Args:
@@ -220,7 +222,7 @@
         return False
     if step.spec.gang and step.spec.count > 1:
         return True
-    return step.spec.demand.share_of(usual_total) >= WIDE_SHARE
+    return step.spec.demand.share_of(median_total) >= WIDE_SHARE
 
 
 def estimate_s(step_spec, worker):
@@ -235,7 +237,7 @@
     return step_spec.estimate_ms / 1000 * math.exp(worker.pace_log)
 
 
-def expect_end(run, worker, now):
+def predict_end(run, worker, now):
     """Say when a run is expected to end.
 
     Args:
--- a/thornport/cell/decisions/reserving_test.py
+++ b/thornport/cell/decisions/reserving_test.py
@@ -58,15 +58,21 @@
         add_run(other, SMALL, NOW, 1000)
         starts_at = self.reserved.reserve(make_step(WHOLE), [self.worker, other])
         self.assertAlmostEqual(starts_at, NOW + 1.0)
-        room = self.reserved.limit_room(make_step(SMALL, estimate_ms=5000), other)
+        room = self.reserved.compute_usable_room(
+            make_step(SMALL, estimate_ms=5000), other
+        )
         self.assertEqual(room.accelerators, 0)
-        room = self.reserved.limit_room(make_step(SMALL, estimate_ms=5000), self.worker)
+        room = self.reserved.compute_usable_room(
+            make_step(SMALL, estimate_ms=5000), self.worker
+        )
         self.assertEqual(room.accelerators, 7)
 
     def test_task_that_ends_before_may_use_the_room(self):
         add_run(self.worker, SMALL, NOW, 3000)
         self.reserved.reserve(make_step(WHOLE), [self.worker])
-        room = self.reserved.limit_room(make_step(SMALL, estimate_ms=2900), self.worker)
+        room = self.reserved.compute_usable_room(
+            make_step(SMALL, estimate_ms=2900), self.worker
+        )
         self.assertEqual(room.accelerators, 7)
 
     def test_task_that_fits_beside_may_use_what_is_spare(self):
@@ -74,16 +80,18 @@
         most = spec.Demand(30_000, 40_000, 7)
         self.reserved.reserve(make_step(most), [self.worker])
         late = make_step(SMALL, estimate_ms=9000)
-        room = self.reserved.limit_room(late, self.worker)
+        room = self.reserved.compute_usable_room(late, self.worker)
         self.assertEqual(room.accelerators, 1)
-        self.reserved.take_room(late, self.worker)
-        room = self.reserved.limit_room(late, self.worker)
+        self.reserved.note_placed(late, self.worker)
+        room = self.reserved.compute_usable_room(late, self.worker)
         self.assertEqual(room.accelerators, 0)
 
     def test_gang_that_its_workers_never_hold_keeps_nothing(self):
         gang = make_step(WHOLE, count=2, gang=True)
         self.assertIsNone(self.reserved.reserve(gang, [self.worker]))
-        room = self.reserved.limit_room(make_step(SMALL, estimate_ms=9000), self.worker)
+        room = self.reserved.compute_usable_room(
+            make_step(SMALL, estimate_ms=9000), self.worker
+        )
         self.assertEqual(room, ROOM)
 
     def test_lasting_runs_never_give_their_room_back(self):
@@ -100,9 +108,9 @@
         self.assertFalse(reserving.is_wide(make_step(WHOLE, lasting=True), ROOM))
 
     def test_steps_that_never_get_room_bound_the_round(self):
-        for _ in range(reserving.MAX_TRIED):
+        for _ in range(reserving.MAX_TRIED_STEPS):
             self.assertTrue(self.reserved.may_reserve())
-            self.reserved.note_try()
+            self.reserved.count_try()
         self.assertFalse(self.reserved.may_reserve())
 
 
--- a/thornport/cell/decisions/shares.py
+++ b/thornport/cell/decisions/shares.py
@@ -29,7 +29,7 @@
         self.weight_by_name = {}
         self._paid_until_by_name = {}
 
-    def take_weights(self, workspaces):
+    def set_weights(self, workspaces):
         """Take the weights of a version of the configuration.
 
         Args:
@@ -40,7 +40,7 @@
             name: one.weight for name, one in by_name.items() if one.weight > 0
         }
 
-    def take_job(self, name, accepted_at_ms):
+    def charge_job(self, name, accepted_at_ms):
         """Take that a job was accepted, and tell whether it is owed.
 
         Times of acceptance are of the clocks of many VMs, so they need not rise. A
--- a/thornport/cell/decisions/stalls.py
+++ b/thornport/cell/decisions/stalls.py
@@ -61,7 +61,7 @@
       waiting: An int, its tasks without a run.
       live: Counts of the job's runs that may be live, by model.RunState.
       holds: JobHolds.
-      workers: Counts of the workers that may run it, by eligibility.WorkerHold.
+      workers: Counts of the workers that may run it, by eligibility.WorkerBlocker.
       used: Floats, the shares of the service's cores, memory and accelerators in use.
     """
 
@@ -70,7 +70,7 @@
     waiting: int
     live: dict[model.RunState, int]
     holds: tuple[JobHold, ...]
-    workers: dict[eligibility.WorkerHold, int]
+    workers: dict[eligibility.WorkerBlocker, int]
     used: tuple[float, ...]
 
     @property
@@ -206,34 +206,34 @@
       needs_ticket: Whether the step's queue asks for advice.
       now: A float.
     Returns:
-      An eligibility.WorkerHold.
+      An eligibility.WorkerBlocker.
     """
     refusal = eligibility.find_refusal(worker, now)
     # Rounds try a silent worker again once it is no longer avoided.
     if worker.silent_since is not None and refusal in (
         None,
-        eligibility.WorkerHold.SUSPECT,
+        eligibility.WorkerBlocker.SUSPECT,
     ):
-        return eligibility.WorkerHold.SILENT
+        return eligibility.WorkerBlocker.SILENT
     if refusal is not None:
         return refusal
     if eligibility.disturbs(step, worker):
-        return eligibility.WorkerHold.DISTURBED
+        return eligibility.WorkerBlocker.DISTURBED
     if not step.spec.demand.fits(worker.compute_free()):
-        return eligibility.WorkerHold.FULL
+        return eligibility.WorkerBlocker.FULL
     if crashes.is_on_trial(worker, now):
-        return eligibility.WorkerHold.TRIAL
+        return eligibility.WorkerBlocker.TRIAL
     if reserved is not None and not step.spec.demand.fits(
-        reserved.limit_room(step, worker)
+        reserved.compute_usable_room(step, worker)
     ):
-        return eligibility.WorkerHold.RESERVED
+        return eligibility.WorkerBlocker.RESERVED
     if not needs_ticket:
-        return eligibility.WorkerHold.NONE
+        return eligibility.WorkerBlocker.NONE
     if worker.worker_id not in step.asked_ids:
-        return eligibility.WorkerHold.NOT_ASKED
+        return eligibility.WorkerBlocker.NOT_ASKED
     if not eligibility.has_ticket(step, worker, now):
-        return eligibility.WorkerHold.NO_TICKET
-    return eligibility.WorkerHold.NONE
+        return eligibility.WorkerBlocker.NO_TICKET
+    return eligibility.WorkerBlocker.NONE
 
 
 def read_shares(candidates):
--- a/thornport/cell/decisions/stalls_test.py
+++ b/thornport/cell/decisions/stalls_test.py
@@ -112,26 +112,26 @@
         return stalls.find_worker_hold(self.step, self.worker, None, needs_ticket, NOW)
 
     def test_each_is_told_by_its_name(self):
-        self.assertIs(self.find(needs_ticket=False), eligibility.WorkerHold.NONE)
-        self.assertIs(self.find(), eligibility.WorkerHold.NOT_ASKED)
+        self.assertIs(self.find(needs_ticket=False), eligibility.WorkerBlocker.NONE)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.NOT_ASKED)
         self.step.asked_ids.add("w0")
-        self.assertIs(self.find(), eligibility.WorkerHold.NO_TICKET)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.NO_TICKET)
         self.step.tickets_by_worker["w0"] = ("t", NOW + 1)
-        self.assertIs(self.find(), eligibility.WorkerHold.NONE)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.NONE)
         key = messages.TaskKey("b", 0, 0, 0)
         filler = spec.Step(1, spec.Demand(7500))
         self.worker.add_run(model.Run(key, 1, "w0", filler, model.RunState.RUNNING))
-        self.assertIs(self.find(), eligibility.WorkerHold.FULL)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.FULL)
         self.worker.suspect(NOW + 1)
-        self.assertIs(self.find(), eligibility.WorkerHold.SUSPECT)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.SUSPECT)
         self.worker.avoid(NOW + 1)
-        self.assertIs(self.find(), eligibility.WorkerHold.SILENT)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.SILENT)
         self.worker.doubted_at = NOW
-        self.assertIs(self.find(), eligibility.WorkerHold.UNDESCRIBED)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.UNDESCRIBED)
         self.worker.is_heard = False
-        self.assertIs(self.find(), eligibility.WorkerHold.UNHEARD)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.UNHEARD)
         self.worker.is_listed = False
-        self.assertIs(self.find(), eligibility.WorkerHold.UNLISTED)
+        self.assertIs(self.find(), eligibility.WorkerBlocker.UNLISTED)
 
 
 class Told(unittest.TestCase):
@@ -147,13 +147,13 @@
         self.assertEqual(world.owner.take_stalls(world.now), [])
         world.run(1)
         (stall,) = world.owner.take_stalls(world.now)
-        self.assertEqual(stall.workers, {eligibility.WorkerHold.UNLISTED: 1})
+        self.assertEqual(stall.workers, {eligibility.WorkerBlocker.UNLISTED: 1})
         self.assertEqual(world.owner.take_stalls(world.now), [])
         world.list_worker("w0")
         worker.avoid(world.now + 60)
         world.now += stalls.TOLD_AGAIN_S
         (stall,) = world.owner.take_stalls(world.now)
-        self.assertEqual(stall.workers, {eligibility.WorkerHold.SILENT: 1})
+        self.assertEqual(stall.workers, {eligibility.WorkerBlocker.SILENT: 1})
 
 
 if __name__ == "__main__":
--- a/thornport/cell/decisions/ticketing.py
+++ b/thornport/cell/decisions/ticketing.py
@@ -257,7 +257,7 @@
             return
         del self._open_advice_by_step[request.step]
         self.callers.end_call(open_call.name, now, answer is not None)
-        self.needs_round = True
+        self.needs_pass = True
         step = self._find_step(request.step)
         if step is None:
             return
@@ -278,7 +278,7 @@
             if ticket.worker_id in asked_ids:
                 step.good_ids.add(ticket.worker_id)
                 step.tickets_by_worker[ticket.worker_id] = (ticket.text, deadline)
-        self.needs_round = True
+        self.needs_pass = True
 
     def _give_up_advice(self, now):
         """Give up the calls whose answers are late; others make them anew at once."""
@@ -359,7 +359,7 @@
       A list of model.Worker.
     """
     demand = step.spec.demand
-    roomy = (w for w in workers if demand.fits(reserved.limit_room(step, w)))
+    roomy = (w for w in workers if demand.fits(reserved.compute_usable_room(step, w)))
     return list(itertools.islice(roomy, count))
 
 
@@ -374,4 +374,4 @@
       A list of them.
     """
     demand = step.spec.demand
-    return [w for w in workers if demand.fits(reserved.limit_room(step, w))]
+    return [w for w in workers if demand.fits(reserved.compute_usable_room(step, w))]
--- a/thornport/cell/decisions/ticketing_test.py
+++ b/thornport/cell/decisions/ticketing_test.py
@@ -135,7 +135,7 @@
         self.now += 0.01
         urgent = self.count_checks(lambda: self.place(only_urgent=True))
         self.assertEqual(urgent, 0)
-        self.now += 2 * listing.LISTED_S
+        self.now += 2 * listing.MAX_LIST_AGE_S
         self.assertEqual(
             self.count_checks(lambda: self.place(only_urgent=True)), WORKERS
         )
--- a/thornport/cell/decisions/usage.py
+++ b/thornport/cell/decisions/usage.py
@@ -26,7 +26,7 @@
         self._names_by_run = {}
         self._limits_by_name = {}
 
-    def take_limits(self, workspaces, overshoot):
+    def set_limits(self, workspaces, overshoot):
         """Take the limits of a version of the configuration.
 
         What runs goes on where a limit falls; nothing starts until there is room. Work
--- a/thornport/cell/decisions/usage_test.py
+++ b/thornport/cell/decisions/usage_test.py
@@ -34,7 +34,7 @@
             ]
         )
         self.usage = usage.Usage()
-        self.usage.take_limits(self.workspaces, 0.0)
+        self.usage.set_limits(self.workspaces, 0.0)
 
     def count(self, name, count=9, gang=False):
         """How many tasks of a step a workspace may start."""
@@ -62,13 +62,13 @@
             self.usage.add(make_run(index), "cores")
         low = spec.Demand(5_000, 1, 1)
         lowered = workspace.Workspaces([workspace.Workspace("cores", limit=low)])
-        self.usage.take_limits(lowered, 0.0)
+        self.usage.set_limits(lowered, 0.0)
         self.assertEqual(self.count("cores"), 0)
-        self.usage.take_limits(workspace.Workspaces([]), 0.0)
+        self.usage.set_limits(workspace.Workspaces([]), 0.0)
         self.assertEqual(self.count("cores"), 9)
 
     def test_overshoot_widens_a_limit_and_not_what_has_none(self):
-        self.usage.take_limits(self.workspaces, 0.25)
+        self.usage.set_limits(self.workspaces, 0.25)
         limit = self.usage.read_limit("cores")
         none = workspace.UNLIMITED
         self.assertEqual(limit, spec.Demand(16_250, none, none))
@@ -87,13 +87,13 @@
     def setUp(self):
         self.shares = shares.Shares()
         weighted = workspace.Workspace("w", weight=2.0)
-        self.shares.take_weights(workspace.Workspaces([weighted]))
+        self.shares.set_weights(workspace.Workspaces([weighted]))
 
     def count_owed(self, a_second, seconds, from_ms=0):
         """How many jobs are owed of those that come evenly for some seconds."""
         count = int(a_second * seconds)
         return sum(
-            self.shares.take_job("w", from_ms + int(number * 1000 / a_second))
+            self.shares.charge_job("w", from_ms + int(number * 1000 / a_second))
             for number in range(count)
         )
 
@@ -113,11 +113,11 @@
 
     def test_nobody_and_who_has_no_weight_owe_nothing_to_anybody(self):
         for name in ("", "other"):
-            self.assertTrue(all(self.shares.take_job(name, 0) for _ in range(99)))
+            self.assertTrue(all(self.shares.charge_job(name, 0) for _ in range(99)))
 
     def test_times_of_acceptance_need_not_rise(self):
         times = [1000, 900, 3000, 1000, 2500]
-        self.assertTrue(all(self.shares.take_job("w", at) for at in times))
+        self.assertTrue(all(self.shares.charge_job("w", at) for at in times))
 
 
 if __name__ == "__main__":
--- a/thornport/cell/decisions/yielding.py
+++ b/thornport/cell/decisions/yielding.py
@@ -34,7 +34,7 @@
         self._now = now
         self._priority_by_service = {}
 
-    def note_waiting(self, queue, workers):
+    def note_waiting_gang(self, queue, workers):
         """Take that a gang waits for room that will come.
 
         Args:
@@ -46,7 +46,7 @@
         foremost = self._priority_by_service.get(queue.service, queue.priority)
         self._priority_by_service[queue.service] = min(foremost, queue.priority)
 
-    def gives_way(self, job, queue):
+    def must_yield(self, job, queue):
         """Tell whether a job leaves its place to gangs that wait.
 
         Args:
--- a/thornport/cell/decisions/yielding_test.py
+++ b/thornport/cell/decisions/yielding_test.py
@@ -37,47 +37,47 @@
 class GivesWay(unittest.TestCase):
     """Who gives way while a gang waits."""
 
-    def gives_way(
+    def must_yield(
         self, kept_queue, now=0.0, has_begun=False, step=STEP, used_millicores=60_000
     ):
         """Whether a job that came at 0 gives way."""
         yields = yielding.Yielding(now)
-        yields.note_waiting(GANGS, [make_worker(used_millicores)])
+        yields.note_waiting_gang(GANGS, [make_worker(used_millicores)])
         job = make_entry(kept_queue, step)
         job.has_begun = has_begun
-        return yields.gives_way(job, kept_queue)
+        return yields.must_yield(job, kept_queue)
 
     def test_cheaper_job_does(self):
-        self.assertTrue(self.gives_way(CHEAP))
+        self.assertTrue(self.must_yield(CHEAP))
 
     def test_only_for_a_share_of_what_it_has_to_spare(self):
         short = spec.Step(1, spec.Demand(11_000, 20_000, 0), 500)
         over_s = yielding.YIELD_SHARE * (3.0 + 3 * 0.5)
-        self.assertTrue(self.gives_way(CHEAP, over_s - 0.01, step=short))
-        self.assertFalse(self.gives_way(CHEAP, over_s + 0.01, step=short))
+        self.assertTrue(self.must_yield(CHEAP, over_s - 0.01, step=short))
+        self.assertFalse(self.must_yield(CHEAP, over_s + 0.01, step=short))
 
     def test_long_job_gives_way_for_less_than_users_let_it_wait(self):
         # A job of 52 s at the most on a played day: a quarter of it is 13 s.
         long_one = spec.Step(1, spec.Demand(11_000, 20_000, 0), 15_000)
-        self.assertTrue(self.gives_way(CHEAP, 1.9, step=long_one))
-        self.assertFalse(self.gives_way(CHEAP, yielding.MAX_YIELD_S, step=long_one))
+        self.assertTrue(self.must_yield(CHEAP, 1.9, step=long_one))
+        self.assertFalse(self.must_yield(CHEAP, yielding.MAX_YIELD_S, step=long_one))
 
     def test_nobody_does_in_a_cell_that_is_half_empty(self):
         # Users hold a job lost that waits for 3 s while half of the cell is free.
-        self.assertFalse(self.gives_way(CHEAP, used_millicores=40_000))
+        self.assertFalse(self.must_yield(CHEAP, used_millicores=40_000))
 
     def test_job_that_has_begun_goes_on(self):
-        self.assertFalse(self.gives_way(CHEAP, has_begun=True))
+        self.assertFalse(self.must_yield(CHEAP, has_begun=True))
 
     def test_dearer_and_equal_jobs_do_not(self):
-        self.assertFalse(self.gives_way(URGENT))
-        self.assertFalse(self.gives_way(GANGS))
+        self.assertFalse(self.must_yield(URGENT))
+        self.assertFalse(self.must_yield(GANGS))
 
     def test_jobs_of_other_workers_do_not(self):
-        self.assertFalse(self.gives_way(OTHER))
+        self.assertFalse(self.must_yield(OTHER))
 
     def test_nobody_does_while_no_gang_waits(self):
-        self.assertFalse(yielding.Yielding(0.0).gives_way(make_entry(CHEAP), CHEAP))
+        self.assertFalse(yielding.Yielding(0.0).must_yield(make_entry(CHEAP), CHEAP))
 
 
 class Room(ticketing_test.LargeCell):
--- a/thornport/cell/owner/owner.py
+++ b/thornport/cell/owner/owner.py
@@ -301,7 +301,7 @@
 
     def _plan_round(self):
         """See to the next round, if there is reason for one."""
-        if self.core.needs_round:
+        if self.core.needs_pass:
             wait_s = self._round_gap_s
         elif self._needs_full_round:
             wait_s = max(0.0, self._full_round_at - clock.read_monotonic())
