--- a/bench/cell.py
+++ b/bench/cell.py
@@ -98,10 +98,10 @@
 
     def look(self, worker_id):
         """Look at a worker and take its ends."""
-        request = self.core.make_hold(worker_id, self.now)
+        request = self.core.make_poll(worker_id, self.now)
         ended = self.ended_by_worker.pop(worker_id, [])
         answer = messages.HoldAnswer(int(self.now * 1000), [], ended)
-        self.core.take_hold(request, self.now, answer, self.now)
+        self.core.take_poll(request, self.now, answer, self.now)
 
     def end_due(self):
         """Let tasks end whose time is over."""
--- a/bench/gangs.py
+++ b/bench/gangs.py
@@ -267,9 +267,9 @@
     def look(self, worker_ids):
         """Look at some workers."""
         for worker_id in sorted(worker_ids):
-            request = self.core.make_hold(worker_id, self.now)
+            request = self.core.make_poll(worker_id, self.now)
             answer = self.worker_by_id[worker_id].answer(self.now)
-            self.core.take_hold(request, self.now, answer, self.now)
+            self.core.take_poll(request, self.now, answer, self.now)
 
     def decide(self):
         """A round, its records, and the answers of advice that are due."""
--- a/tests/stallclock_test.py
+++ b/tests/stallclock_test.py
@@ -110,14 +110,14 @@
     def test_few_steps_are_looked_at_in_one_call(self):
         for worker_id in self.world.workers_by_id:
             self.world.list_worker(worker_id, messages.WorkerState.DRAINING, 60_000)
-        for number in range(3 * stalls.MOST_TOLD):
+        for number in range(3 * stalls.MAX_REPORTED):
             self.submit(f"j{number}", "dear", spec.Step(1, SMALL, LONG_MS), ["w0"])
         self.world.run(6)
         told = self.world.owner.take_stalls(self.world.now)
-        self.assertEqual(len(told), stalls.MOST_TOLD)
+        self.assertEqual(len(told), stalls.MAX_REPORTED)
         later = self.world.owner.take_stalls(self.world.now)
         keys = {stall.key for stall in told}
-        self.assertEqual(len(later), stalls.MOST_TOLD)
+        self.assertEqual(len(later), stalls.MAX_REPORTED)
         self.assertTrue(keys.isdisjoint(stall.key for stall in later))
 
 
--- a/tests/worldcalls.py
+++ b/tests/worldcalls.py
@@ -198,11 +198,11 @@
         else:
             answer = worker.hold(look.request, self.now)
             self._connected.add(worker)
-        self.owner.take_hold(look.request, look.sent_at, answer, self.now + 0.001)
+        self.owner.take_poll(look.request, look.sent_at, answer, self.now + 0.001)
 
     def _send_look(self, worker_id):
         """Send a look: the worker renews the leases when it comes."""
-        request = self.owner.make_hold(worker_id, self.now)
+        request = self.owner.make_poll(worker_id, self.now)
         if request is None:
             return None
         wait_s = request.wait_ms / 1000 if self.looks_wait else 0.0
--- a/tests/worldlives.py
+++ b/tests/worldlives.py
@@ -70,7 +70,7 @@
         look = self.open_looks.pop(worker_id, None)
         if look is not None and self.breaks_off:
             answer = messages.Unanswered("broken off", is_broken_off=True)
-            self.owner.take_hold(look.request, look.sent_at, answer, self.now)
+            self.owner.take_poll(look.request, look.sent_at, answer, self.now)
 
     def restart(self, worker_id, is_listed=True):
         """A worker ends and is there again at once, under its id.
--- a/thornport/cell/decisions/advising.py
+++ b/thornport/cell/decisions/advising.py
@@ -19,7 +19,7 @@
 
 from thornport.kernel import clock
 
-ASKED_WORKERS = 100  # named in one call at most, by the users' interface
+MAX_ASKED_WORKERS = 100  # named in one call at most, by the users' interface
 LONG_CALL_S = 0.15  # calls that take longer are long ones, for some processes only
 # A process gets its next call so long before it is free: a round and the way there.
 QUEUE_S = 0.02
@@ -34,10 +34,10 @@
 ANSWER_SLACK_S = 0.5  # beyond the time that a call takes, for the way and a busy node
 # Stops and starts go on for this long after the last sign of one: VMs are told to stop
 # half a second after one another, and a process is there again within some seconds.
-CHANGES_S = 5.0
+CHANGE_WINDOW_S = 5.0
 # Lists of the processes are made anew so often at the most, and at once when a greeting
 # says something new; who falls silent is noticed after SILENCE_S anyway.
-LISTS_S = 0.05
+LISTS_MAX_AGE_S = 0.05
 
 
 class Caller(msgspec.Struct, eq=False):
@@ -174,7 +174,7 @@
         """
         if now < self._lists_until:
             return self._lists
-        self._lists_until = now + LISTS_S
+        self._lists_until = now + LISTS_MAX_AGE_S
         version = self._lists.version
         lists = PeerLists(
             version,
@@ -192,16 +192,16 @@
         cores = (c.cores for c in self.list_staying(now) if c.has_store)
         return max(cores, default=0.0)
 
-    def is_series(self, now):
+    def has_recent_stop(self, now):
         """Whether a process was told to stop lately, so that more may be."""
-        return now - self._stop_heard_at < CHANGES_S
+        return now - self._stop_heard_at < CHANGE_WINDOW_S
 
     def is_changing(self, now):
         """Whether processes are being stopped or started, a bool."""
         started_at = max(
             (caller.started_at for caller in self._list_alive(now)), default=-math.inf
         )
-        return self.is_series(now) or now - started_at < CHANGES_S
+        return self.has_recent_stop(now) or now - started_at < CHANGE_WINDOW_S
 
     def _list_alive(self, now):
         return [c for c in self._by_name.values() if now - c.heard_at < SILENCE_S]
@@ -253,7 +253,7 @@
         is_long = cost_s >= LONG_CALL_S
         caller = find_free(choose_group(trusted, is_long), now)
         if caller is None and is_long and may_help:
-            caller = find_helper(trusted[count_long(trusted) :], now)
+            caller = find_long_call_helper(trusted[count_long(trusted) :], now)
         if caller is None and 2 * len(trusted) < len(fit):
             # Calls of most fail: it may be the service, or the way to it.
             left_out = [caller for caller in fit if caller.left_out_until > now]
@@ -290,7 +290,7 @@
         if not caller.open_count:
             caller.busy_until = min(caller.busy_until, now)
 
-    def distrust(self, name, now):
+    def suspend_caller(self, name, now):
         """Give no calls for a while to a process whose answer did not come.
 
         Args:
@@ -336,7 +336,7 @@
     return caller
 
 
-def find_helper(group, now):
+def find_long_call_helper(group, now):
     """Find a process of those for short calls that may make a long one.
 
     Enough of them are idle besides it, so that calls of urgent steps wait for none.
--- a/thornport/cell/decisions/advising_test.py
+++ b/thornport/cell/decisions/advising_test.py
@@ -46,7 +46,7 @@
     def test_process_without_an_answer_is_passed_over_for_a_while(self):
         self.choose(SHORT_S)
         self.callers.end_call("c", 10.0)
-        self.callers.distrust("c", 10.0)
+        self.callers.suspend_caller("c", 10.0)
         names = {self.choose(SHORT_S), self.choose(SHORT_S)}
         self.assertNotIn("c", names)
 
--- a/thornport/cell/decisions/core.py
+++ b/thornport/cell/decisions/core.py
@@ -8,7 +8,6 @@
 from thornport.cell.decisions import (
     batches,
     explaining,
-    holds,
     learning,
     leaving,
     messages,
@@ -16,6 +15,7 @@
     notes,
     outcomes,
     passes,
+    polls,
     stalls,
 )
 from thornport.jobs import workspace
@@ -28,7 +28,7 @@
 
 class CellCore(
     learning.Learning,
-    holds.Holds,
+    polls.Polls,
     leaving.Leaving,
     outcomes.Outcomes,
     explaining.Explaining,
--- a/thornport/cell/decisions/ending.py
+++ b/thornport/cell/decisions/ending.py
@@ -59,7 +59,7 @@
         """Note until when a run that goes on no more was at work."""
         job = self.jobs_by_id.get(run.key.job_id)
         if job is not None:
-            stalls.note_work(job, worker, now)
+            stalls.record_work(job, worker, now)
 
     def _judge_worker(self, worker, end, now):
         """Tell workers that fail all they start from tasks that fail anywhere."""
--- a/thornport/cell/decisions/explaining.py
+++ b/thornport/cell/decisions/explaining.py
@@ -204,13 +204,13 @@
                     continue
                 if now < step.stall_due_at:
                     continue
-                step.stall_due_at = now + stalls.TOLD_AGAIN_S
+                step.stall_due_at = now + stalls.REPORT_INTERVAL_S
                 stall = self._view_stall(job, step, now)
                 if stall.reasons != step.told_stall:
                     step.told_stall = stall.reasons
                     taken.append(stall)
                 looked_at += 1
-                if looked_at == stalls.MOST_TOLD:
+                if looked_at == stalls.MAX_REPORTED:
                     return taken
         return taken
 
@@ -222,7 +222,7 @@
             or not self._are_dependencies_done(job, step)
         ):
             return False
-        if now - step.idle_since < stalls.TOLD_AFTER_S:
+        if now - step.idle_since < stalls.REPORT_AFTER_S:
             return False
         listed = self._find_listed(self._queue_of(job).service)
         return step.spec.lasting or listed.used_share < stalls.FULL_SHARE
@@ -234,38 +234,38 @@
             int((now - step.idle_since) * clock.MS_PER_S),
             len(step.waiting),
             stalls.count_live(job),
-            tuple(self._list_job_holds(job, step, now)),
-            self._count_worker_holds(step, queue, now),
-            stalls.read_shares(self._find_listed(queue.service)),
+            tuple(self._list_job_blockers(job, step, now)),
+            self._count_worker_blockers(step, queue, now),
+            stalls.compute_used_shares(self._find_listed(queue.service)),
         )
 
-    def _list_job_holds(self, job, step, now):
+    def _list_job_blockers(self, job, step, now):
         """List the stalls.JobHolds of a step."""
         if not self.usage.count_startable(step, job.record.workspace):
-            yield stalls.JobHold.LIMIT
+            yield stalls.JobBlocker.LIMIT
         if (
             self._resume_at is not None
             and self._rank((job, step)) >= self._resume_at[0]
         ):
-            yield stalls.JobHold.PASSED_OVER
+            yield stalls.JobBlocker.PASSED_OVER
         if not crashes.list_startable(step, self.workers_by_id, now):
-            yield stalls.JobHold.TRIAL
+            yield stalls.JobBlocker.TRIAL
         if step.is_advising:
-            yield stalls.JobHold.ADVICE_OPEN
+            yield stalls.JobBlocker.ADVICE_OPEN
         if now < step.retry_advice_at:
-            yield stalls.JobHold.ADVICE_FAILED
+            yield stalls.JobBlocker.ADVICE_FAILED
 
-    def _count_worker_holds(self, step, queue, now):
+    def _count_worker_blockers(self, step, queue, now):
         """Count the workers that may run a step by what keeps it from them.
 
         Of those that advice was asked about, the others may not.
         """
         needs_ticket = queue.advice is not None
-        suited = self._list_suited(step, queue)[: ticketing.WALKED_WORKERS]
+        suited = self._list_suited(step, queue)[: ticketing.MAX_SCANNED_WORKERS]
         barred_ids = step.asked_ids - step.good_ids if needs_ticket else ()
         return dict(
             collections.Counter(
-                stalls.find_worker_hold(
+                stalls.find_worker_blocker(
                     step, worker, self._last_reserved, needs_ticket, now
                 )
                 for worker in suited
--- a/thornport/cell/decisions/explaining_test.py
+++ b/thornport/cell/decisions/explaining_test.py
@@ -63,8 +63,8 @@
     def ask_advice(self):
         """Hand in a job whose queue needs advice, at a worker that answers."""
         self.core.callers.greet("p", "b:1", True, 1.0, 0.0)
-        request = self.core.make_hold("w1", 0.0)
-        self.core.take_hold(request, 0.0, messages.HoldAnswer(0, [], []), 0.0)
+        request = self.core.make_poll("w1", 0.0)
+        self.core.take_poll(request, 0.0, messages.HoldAnswer(0, [], []), 0.0)
         step = self.make_step(1)
         self.core.take_incoming(
             record.JobRecord("a", ADVISED, spec.Job("text", (step,)), 7), 0.0
--- a/thornport/cell/decisions/incarnations_test.py
+++ b/thornport/cell/decisions/incarnations_test.py
@@ -202,9 +202,9 @@
         rows = [messages.RunningRow(key, 1, "", 5)]
         started_at_ms = world.workers_by_id["w0"].started_at_ms
         for later_ms in (0, 1, 1):
-            request = owner.make_hold("w0", world.now)
+            request = owner.make_poll("w0", world.now)
             answer = messages.HoldAnswer(9, rows, [], started_at_ms + later_ms)
-            owner.take_hold(request, world.now, answer, world.now)
+            owner.take_poll(request, world.now, answer, world.now)
         self.assertTrue(owner.is_met("w0"))
         stops = [o for o in owner.take_orders() if isinstance(o, messages.StopOrder)]
         self.assertEqual({order.key for order in stops}, {key})
@@ -212,11 +212,11 @@
     def test_call_that_was_meant_for_a_life_before_ends_no_later_one(self):
         world = make_world()
         owner = world.owner
-        request = owner.make_hold("w0", world.now)
+        request = owner.make_poll("w0", world.now)
         world.restart("w0")
         world.run(0.2)
         replaced = messages.Rejected(messages.Rejection.REPLACED)
-        owner.take_hold(request, world.now, replaced, world.now)
+        owner.take_poll(request, world.now, replaced, world.now)
         key = messages.TaskKey("a", 0, 0, 0)
         stop = messages.StopOrder("w0", request.address, key, 1, request.token)
         owner.take_stop_outcome(stop, replaced, world.now)
--- a/thornport/cell/decisions/learning_test.py
+++ b/thornport/cell/decisions/learning_test.py
@@ -42,7 +42,7 @@
     def test_it_is_not_looked_at_and_takes_no_worker_s_place(self):
         entry = self.make_entry("other", "elsewhere")
         self.world.owner.take_worker(entry, 10_000, self.world.now)
-        self.assertIsNone(self.world.owner.make_hold("other", self.world.now))
+        self.assertIsNone(self.world.owner.make_poll("other", self.world.now))
         self.world.run(10)
         self.assertEqual(find_place(self.world), self.place)
         self.assertEqual(self.world.read_states(), {"a": "running"})
@@ -70,7 +70,7 @@
         owner.take_worker(entry, 10_000, self.world.now)
         later = queue.Config(2, (cellworld.QUEUE,), services=frozenset({"elsewhere"}))
         owner.take_config(later, self.world.now)
-        self.assertIsNotNone(owner.make_hold("other", self.world.now))
+        self.assertIsNotNone(owner.make_poll("other", self.world.now))
 
     def test_entry_that_is_gone_is_not_kept_for_a_later_configuration(self):
         owner = self.world.owner
--- a/thornport/cell/decisions/passes.py
+++ b/thornport/cell/decisions/passes.py
@@ -45,7 +45,7 @@
     def _try_steps(self, now, only_urgent):
         """Start what can start, and note which advice is wanted."""
         self._renew_lists(now, listing.MAX_LIST_AGE_S if only_urgent else 0.0)
-        self._renew_late(now)
+        self._renew_recording_tickets(now)
         reserved = reserving.Reservations(now)
         yields = yielding.Yielding(now)
         tried = 0
@@ -161,9 +161,9 @@
             ]
             if not steps:
                 continue
-            stalls.note_work_of_job(job, self.workers_by_id, now)
+            stalls.record_job_work(job, self.workers_by_id, now)
             for step in steps:
-                stalls.note_idle(job, step, now)
+                stalls.update_idle_since(job, step, now)
                 ready.append((job, step))
         ready.sort(key=self._rank)
         return ready
--- a/thornport/cell/decisions/holds.py
+++ b/thornport/cell/decisions/polls.py
@@ -16,7 +16,7 @@
 
 # A look that waits: one whose answer is lost hides ends for this long and a
 # little, and urgent tasks are late after some tenths of a second.
-HOLD_WAIT_MS = 700
+POLL_WAIT_MS = 700
 IDLE_WAIT_MS = 2000  # where nothing runs there is little to hide; looks are priced
 # Where urgent tasks run while answers are being lost: one that is lost hides their
 # ends for 0.45 s instead of 1 s, for 7 looks a second and worker instead of 3.
@@ -26,10 +26,10 @@
 # answer alone was lost.
 LOST_ANSWER_S = 1.6
 # A connection that the worker does not know any more is reset within this time.
-RESET_S = 0.1
+CONNECTION_RESET_S = 0.1
 # An entry goes after three heartbeats of silence, 4.5 s; well below that, it went
 # because the worker ended.
-LEFT_S = 2.5
+LEAVE_WINDOW_S = 2.5
 # Tasks whose percent has not changed for so long stand still: the longest task of
 # the users changes every 0.2 s, and a look waits for 0.7 s at most.
 STALLED_S = 1.5
@@ -37,10 +37,10 @@
 MAX_STALL_SUSPECT_S = 6.0  # a worker on which one task after the other stood still
 
 
-class Holds(incarnations.Incarnations):
+class Polls(incarnations.Incarnations):
     """Makes looks at workers and takes the answers."""
 
-    def make_hold(self, worker_id, now):
+    def make_poll(self, worker_id, now):
         """Make the next look at a worker.
 
         Args:
@@ -79,7 +79,7 @@
             return IDLE_WAIT_MS
         if now < self._lossy_until and self.is_urgent_at(worker.worker_id):
             return LOSSY_WAIT_MS
-        return HOLD_WAIT_MS
+        return POLL_WAIT_MS
 
     def is_urgent_at(self, worker_id):
         """Tell whether a run of the first priority is live at a worker."""
@@ -89,7 +89,7 @@
         jobs = (self.jobs_by_id.get(key.job_id) for key in worker.runs_by_key)
         return any(job and self._queue_of(job).priority == 0 for job in jobs)
 
-    def take_hold(self, request, sent_at, answer, now):
+    def take_poll(self, request, sent_at, answer, now):
         """Take the answer to a look.
 
         Args:
@@ -126,7 +126,7 @@
         worker.heard_at = now
         worker.silent_since = None
         worker.is_broken_off = False
-        self._judge_loss(worker, now)
+        self._detect_lost_answer(worker, now)
         for end in sorted(answer.ended, key=lambda end: end.number):
             self._take_end(worker, end, now)
         self._take_running(worker, answer, sent_at, now)
@@ -153,7 +153,7 @@
                 if member.worker_id != worker.worker_id:
                     self._stop_run(member, now)
 
-    def _judge_loss(self, worker, now):
+    def _detect_lost_answer(self, worker, now):
         """Tell answers that are lost from workers that are."""
         failed_at, worker.unanswered_at = worker.unanswered_at, None
         if failed_at is not None and now - failed_at < LOST_ANSWER_S:
@@ -165,18 +165,18 @@
         for run in list(worker.runs_by_key.values()):
             row = rows_by_key.pop((run.key, run.run), None)
             if row is not None:
-                self._take_present(worker, run, row, now)
+                self._take_listed_run(worker, run, row, now)
             elif not worker.is_heard:
                 absent.append(run)
             else:
-                self._take_absent(run, sent_at, now)
+                self._take_unlisted_run(run, sent_at, now)
         if not worker.is_heard:
             self._lose_earlier(worker, absent, now)
         for row in rows_by_key.values():
-            self._stop_unknown(worker, row, now)
-        self._judge_progress(worker, now)
+            self._stop_unknown_run(worker, row, now)
+        self._stop_stalled_runs(worker, now)
 
-    def _judge_progress(self, worker, now):
+    def _stop_stalled_runs(self, worker, now):
         """Move tasks from a worker on which all stand still."""
         running = [
             run
@@ -202,7 +202,7 @@
             if not run.step.gang:
                 self._stop_run(run, now)
 
-    def _take_present(self, worker, run, row, now):
+    def _take_listed_run(self, worker, run, row, now):
         if incarnations.is_of_other_incarnation(run, worker):
             # Its order came after the restart; a successor has to know the same.
             run.worker_started_at_ms = worker.started_at_ms
@@ -221,14 +221,14 @@
         if step is not None and row.checkpoint:
             step.checkpoints_by_index[step.index_for(run.key.index)] = row.checkpoint
 
-    def _take_absent(self, run, sent_at, now):
+    def _take_unlisted_run(self, run, sent_at, now):
         """A live run that the worker does not list, nor its end."""
         if run.state is model.RunState.UNHEARD or (
             run.stop_confirmed_at is not None and sent_at > run.stop_confirmed_at
         ):
             self._release_run(run, now)
 
-    def _stop_unknown(self, worker, row, now):
+    def _stop_unknown_run(self, worker, row, now):
         """A run of an earlier owner that no record names: it is not needed."""
         step = self._find_step(row.key)
         # Of a job that is not known, it may take the whole worker.
@@ -261,7 +261,7 @@
       A bool.
     """
     is_broken_off = isinstance(answer, messages.Unanswered) and answer.is_broken_off
-    return is_broken_off and now - sent_at > RESET_S
+    return is_broken_off and now - sent_at > CONNECTION_RESET_S
 
 
 def has_left(worker, answer, now):
@@ -285,5 +285,5 @@
         and worker.revision > 0
         and not worker.is_listed
         and worker.entry.state is messages.WorkerState.DRAINING
-        and now - worker.heard_at < LEFT_S
+        and now - worker.heard_at < LEAVE_WINDOW_S
     )
--- a/thornport/cell/decisions/reserving_test.py
+++ b/thornport/cell/decisions/reserving_test.py
@@ -129,9 +129,9 @@
         self.core.take_config(queue.Config(1, (WIDE_QUEUE, SMALL_QUEUE)), 0.0)
         entry = messages.WorkerEntry("w1", "a:1", "solver", "h", READY, ROOM)
         self.core.take_worker(entry, 1, self.now)
-        request = self.core.make_hold("w1", self.now)
+        request = self.core.make_poll("w1", self.now)
         answer = messages.HoldAnswer(int(self.now * 1000), [], [])
-        self.core.take_hold(request, self.now, answer, self.now)
+        self.core.take_poll(request, self.now, answer, self.now)
         self.core.callers.greet("p", "b:1", True, 1.0, self.now)
 
     def submit(self, job_id, kept_queue, demand, estimate_ms):
--- a/thornport/cell/decisions/stalls.py
+++ b/thornport/cell/decisions/stalls.py
@@ -22,9 +22,9 @@
 )
 
 # Overdue steps are told, and looked at again after this; so many at a time.
-TOLD_AFTER_S = 2.0
-TOLD_AGAIN_S = 1.0
-MOST_TOLD = 20
+REPORT_AFTER_S = 2.0
+REPORT_INTERVAL_S = 1.0
+MAX_REPORTED = 20
 ALLOWED_S = 3.0  # users allow a job that has room to stand still for this long
 START_S = 0.3  # from a ticket to the start: its record and the command
 # A step leaves suspect workers and reserved room alone for this long, less where a call
@@ -35,7 +35,7 @@
 FULL_SHARE = 0.5
 
 
-class JobHold(enum.Enum):
+class JobBlocker(enum.Enum):
     """What holds up all tasks of a step, wherever they could run.
 
     LIMIT: its workspace may have no more running.
@@ -60,7 +60,7 @@
       stalled_ms: An int, for how long.
       waiting: An int, its tasks without a run.
       live: Counts of the job's runs that may be live, by model.RunState.
-      holds: JobHolds.
+      holds: JobBlockers.
       workers: Counts of the workers that may run it, by eligibility.WorkerBlocker.
       used: Floats, the shares of the service's cores, memory and accelerators in use.
     """
@@ -69,7 +69,7 @@
     stalled_ms: int
     waiting: int
     live: dict[model.RunState, int]
-    holds: tuple[JobHold, ...]
+    holds: tuple[JobBlocker, ...]
     workers: dict[eligibility.WorkerBlocker, int]
     used: tuple[float, ...]
 
@@ -79,7 +79,7 @@
         return frozenset((*self.live, *self.holds, *self.workers))
 
 
-def note_work(job, worker, now):
+def record_work(job, worker, now):
     """Take that a run of a job goes on, ends, is stopped, or is lost with its worker.
 
     Args:
@@ -91,7 +91,7 @@
     job.worked_until = max(job.worked_until, worked_until)
 
 
-def note_work_of_job(job, workers_by_id, now):
+def record_job_work(job, workers_by_id, now):
     """Note until when a job has been at work, as far as is known.
 
     A run that is being stopped or has not begun is no work, nor one of which its worker
@@ -106,12 +106,12 @@
         for run in step.live_by_index.values():
             worker = workers_by_id.get(run.worker_id)
             if run.state is model.RunState.RUNNING and worker is not None:
-                note_work(job, worker, now)
+                record_work(job, worker, now)
                 if job.worked_until >= now:
                     return
 
 
-def note_idle(job, step, now):
+def update_idle_since(job, step, now):
     """Note since when a step that may start has been standing still.
 
     Args:
@@ -162,7 +162,7 @@
     """
     if advice is None:
         return 0.0
-    return advising.compute_cost_s(advice, workers[: advising.ASKED_WORKERS])
+    return advising.compute_cost_s(advice, workers[: advising.MAX_ASKED_WORKERS])
 
 
 def is_past_grace(step, advice_s, now):
@@ -196,7 +196,7 @@
     )
 
 
-def find_worker_hold(step, worker, reserved, needs_ticket, now):
+def find_worker_blocker(step, worker, reserved, needs_ticket, now):
     """Find what keeps a step from a worker, the first of it.
 
     Args:
@@ -236,7 +236,7 @@
     return eligibility.WorkerBlocker.NONE
 
 
-def read_shares(candidates):
+def compute_used_shares(candidates):
     """Read what of the room of some workers is in use.
 
     Args:
--- a/thornport/cell/decisions/stalls_test.py
+++ b/thornport/cell/decisions/stalls_test.py
@@ -39,8 +39,8 @@
 
     def read_idle_since(self):
         """Note the step as a round does; since when it stands still."""
-        stalls.note_work_of_job(self.job, {"w0": self.worker}, NOW)
-        stalls.note_idle(self.job, self.step, NOW)
+        stalls.record_job_work(self.job, {"w0": self.worker}, NOW)
+        stalls.update_idle_since(self.job, self.step, NOW)
         return self.step.idle_since
 
     def test_run_at_a_worker_that_answers_stops_it(self):
@@ -59,26 +59,26 @@
 
     def test_lost_run_counts_until_the_last_answer_of_its_worker(self):
         self.worker.silent_since = NOW
-        stalls.note_work(self.job, self.worker, NOW)
+        stalls.record_work(self.job, self.worker, NOW)
         self.assertEqual(self.read_idle_since(), NOW - 1)
 
     def test_run_that_ends_counts_until_now(self):
-        stalls.note_work(self.job, self.worker, NOW)
+        stalls.record_work(self.job, self.worker, NOW)
         self.step.live_by_index.clear()
-        stalls.note_idle(self.job, self.step, NOW + 1)
+        stalls.update_idle_since(self.job, self.step, NOW + 1)
         self.assertEqual(self.step.idle_since, NOW)
 
     # Two tasks of a step that lasts had one clock, which each start began anew.
     def test_each_task_that_lasts_counts_by_itself(self):
         lasting = spec.Step(2, spec.Demand(1000), lasting=True)
         step = model.StepState(self.step.key, lasting, waiting={0})
-        stalls.note_idle(self.job, step, NOW)
+        stalls.update_idle_since(self.job, step, NOW)
         step.waiting = {1}
-        stalls.note_idle(self.job, step, NOW + 1)
+        stalls.update_idle_since(self.job, step, NOW + 1)
         self.assertEqual(step.idle_since, NOW + 1)
         # The start of the first one was refused.
         step.waiting = {0, 1}
-        stalls.note_idle(self.job, step, NOW + 2)
+        stalls.update_idle_since(self.job, step, NOW + 2)
         self.assertEqual(step.idle_since, NOW)
 
     def test_time_at_the_limit_of_a_workspace_does_not_count(self):
@@ -86,7 +86,7 @@
         self.step.is_at_limit = True
         self.assertIsNone(self.read_idle_since())
         self.step.is_at_limit = False
-        stalls.note_idle(self.job, self.step, NOW + 1)
+        stalls.update_idle_since(self.job, self.step, NOW + 1)
         self.assertEqual(self.step.idle_since, NOW)
 
     def test_start_is_in_time_also_where_advice_takes_long(self):
@@ -99,7 +99,7 @@
                 self.assertTrue(stalls.is_past_grace(self.step, advice_s, late))
 
 
-class Holds(unittest.TestCase):
+class Polls(unittest.TestCase):
     """What keeps a step from a worker."""
 
     def setUp(self):
@@ -109,7 +109,9 @@
 
     def find(self, needs_ticket=True):
         """Find the hold."""
-        return stalls.find_worker_hold(self.step, self.worker, None, needs_ticket, NOW)
+        return stalls.find_worker_blocker(
+            self.step, self.worker, None, needs_ticket, NOW
+        )
 
     def test_each_is_told_by_its_name(self):
         self.assertIs(self.find(needs_ticket=False), eligibility.WorkerBlocker.NONE)
@@ -143,7 +145,7 @@
         (worker,) = world.owner.workers_by_id.values()
         world.list_worker("w0", messages.WorkerState.DRAINING, 60_000)
         world.submit(cellworld.make_job("a", cellworld.make_step(1, 1, 1000)))
-        world.run(stalls.TOLD_AFTER_S - 0.5)
+        world.run(stalls.REPORT_AFTER_S - 0.5)
         self.assertEqual(world.owner.take_stalls(world.now), [])
         world.run(1)
         (stall,) = world.owner.take_stalls(world.now)
@@ -151,7 +153,7 @@
         self.assertEqual(world.owner.take_stalls(world.now), [])
         world.list_worker("w0")
         worker.avoid(world.now + 60)
-        world.now += stalls.TOLD_AGAIN_S
+        world.now += stalls.REPORT_INTERVAL_S
         (stall,) = world.owner.take_stalls(world.now)
         self.assertEqual(stall.workers, {eligibility.WorkerBlocker.SILENT: 1})
 
--- a/thornport/cell/decisions/suspects_test.py
+++ b/thornport/cell/decisions/suspects_test.py
@@ -12,7 +12,7 @@
 import unittest
 
 from tests import cellworld
-from thornport.cell.decisions import holds, messages
+from thornport.cell.decisions import messages, polls
 
 STANDING_S = 3.0
 
@@ -62,7 +62,7 @@
     def test_worker_on_which_tasks_stood_still(self):
         self.make_world(worker_count=1)
         (worker,) = self.world.owner.workers_by_id.values()
-        worker.suspect(self.world.now + holds.MAX_STALL_SUSPECT_S)
+        worker.suspect(self.world.now + polls.MAX_STALL_SUSPECT_S)
         self.assertLess(self.measure_standing_s(), STANDING_S)
 
     def fill_and_suspect(self, count, full):
@@ -79,7 +79,7 @@
             self.world.submit(job)
         self.world.run(1)
         for worker in known[full:]:
-            worker.suspected_until = self.world.now + holds.MAX_STALL_SUSPECT_S
+            worker.suspected_until = self.world.now + polls.MAX_STALL_SUSPECT_S
 
     def measure_job_s(self, step):
         """Hand in a job of a step; how long nothing of it runs, a float."""
@@ -109,7 +109,7 @@
     def test_start_that_is_refused_begins_no_wait_anew(self):
         self.make_world(worker_count=1)
         (worker,) = self.world.owner.workers_by_id.values()
-        worker.suspect(self.world.now + holds.MAX_STALL_SUSPECT_S)
+        worker.suspect(self.world.now + polls.MAX_STALL_SUSPECT_S)
         take, refused = self.world.owner.take_start_outcome, []
 
         def refuse_once(order, outcome, now):
--- a/thornport/cell/decisions/ticketing.py
+++ b/thornport/cell/decisions/ticketing.py
@@ -28,15 +28,15 @@
 # Named in a short call, by the tasks that wait: a quarter of the workers may be good
 # for a step, and others take room meanwhile. To name a hundred for each urgent job of
 # three tasks made an answer of 4 KB, most of it never used.
-ASKED_A_TASK = 4
-ASKED_MORE = 8
+ASKED_PER_TASK = 4
+ASKED_BASE = 8
 # Looked at for a step's room in one round at the most, well above a hundred to be asked
 # about. To look at all of 1,000 workers for each step took twice the processor at 330
 # jobs a second, and a round lasted for up to half a second, in which an owner sends no
 # heartbeat and is replaced. All of 270 workers are within it.
-WALKED_WORKERS = 400
+MAX_SCANNED_WORKERS = 400
 # Enough are known to be good once they would hold a step so many times, empty.
-GOOD_TIMES = 3
+GOOD_MULTIPLE = 3
 # A ticket is there this long before its room is expected: runs end early too, and a
 # ticket holds for 2 s.
 TICKET_LEAD_S = 0.4
@@ -75,25 +75,27 @@
           now: A float.
         """
         ticketed = eligibility.list_ticketed(step, candidates, now)
-        lapsed = self._list_lapsed(step, candidates, now)
+        lapsed = self._list_ticketless(step, candidates, now)
         is_long = queue.advice.base_ms / clock.MS_PER_S >= advising.LONG_CALL_S
-        count = advising.ASKED_WORKERS if is_long else count_asked(step)
-        roomy = list_roomy(step, lapsed, reserved)
+        count = advising.MAX_ASKED_WORKERS if is_long else count_asked(step)
+        roomy = list_with_room(step, lapsed, reserved)
         tasks = len(step.waiting)
         if not placing.has_room(step, [*ticketed, *roomy], reserved, tasks):
             # Those that are known to be good are full: of the others some may be good.
-            unknown = itertools.islice(walk_unknown(step, candidates), WALKED_WORKERS)
-            found = take_roomy(step, unknown, reserved, count)
+            unknown = itertools.islice(
+                iterate_unasked(step, candidates), MAX_SCANNED_WORKERS
+            )
+            found = take_with_room(step, unknown, reserved, count)
             if not found:
                 # Few may be large enough for it: the next round goes on from here.
-                step.walked += WALKED_WORKERS
+                step.walked += MAX_SCANNED_WORKERS
             roomy += found
         if not roomy or not placing.has_room(step, [*ticketed, *roomy], reserved):
             return
         roomy_ids = {worker.worker_id for worker in roomy}
         others = lapsed
         if len(roomy) < count and not self._knows_enough(step, candidates):
-            unknown = walk_unknown(step, candidates)
+            unknown = iterate_unasked(step, candidates)
             others = lapsed + list(itertools.islice(unknown, count))
         others = [w for w in others if w.worker_id not in roomy_ids]
         self._want_advice(step, queue, [*roomy, *others][:count], need)
@@ -117,18 +119,18 @@
             return
         if not self._knows_enough(step, candidates):
             unknown = itertools.islice(
-                walk_unknown(step, candidates), advising.ASKED_WORKERS
+                iterate_unasked(step, candidates), advising.MAX_ASKED_WORKERS
             )
             asked = list(unknown)
             if asked:
                 self._want_advice(step, queue, asked, asking.Need.IN_TURN)
                 return
-        lapsed = self._list_lapsed(step, candidates, now)
+        lapsed = self._list_ticketless(step, candidates, now)
         lead_s = advising.compute_cost_s(queue.advice, lapsed) + TICKET_LEAD_S
         if lapsed and starts_at is not None and starts_at - now <= lead_s:
             self._want_advice(step, queue, lapsed, asking.Need.IN_TURN)
 
-    def _renew_late(self, now):
+    def _renew_recording_tickets(self, now):
         """Ask for the tickets that starts wait for whose records are kept.
 
         Only their own workers are named, and before the step's other tasks ask: they
@@ -156,10 +158,10 @@
     def _knows_enough(self, step, candidates):
         """Whether no further workers need be asked about before they have room."""
         good = eligibility.list_good(step, candidates)
-        wanted = GOOD_TIMES * step.spec.count
-        return placing.count_places(step, good, GOOD_TIMES) >= wanted
+        wanted = GOOD_MULTIPLE * step.spec.count
+        return placing.count_places(step, good, GOOD_MULTIPLE) >= wanted
 
-    def _list_lapsed(self, step, candidates, now):
+    def _list_ticketless(self, step, candidates, now):
         """List the workers that are good for a step but need a ticket anew."""
         good = eligibility.list_good(step, candidates)
         return [
@@ -175,7 +177,7 @@
         """Have advice called for as soon as a process is free."""
         job = self.jobs_by_id.get(step.key.job_id)
         job = job or self._incoming_by_id[step.key.job_id]
-        workers = workers[: advising.ASKED_WORKERS]
+        workers = workers[: advising.MAX_ASKED_WORKERS]
         is_long = advising.compute_cost_s(queue.advice, workers) >= advising.LONG_CALL_S
         self._wanted_calls.add(
             asking.WantedCall(step, queue, workers, need, self._rank_job(job), is_long)
@@ -267,11 +269,11 @@
             return
         step.is_answered = True
         deadline = now + answer.valid_ms / 1000
-        asked_ids = self._list_still_there(open_call)
+        asked_ids = self._list_unchanged_ids(open_call)
         late_call = self._late_advice_by_step.pop(request.step, None)
         if late_call is not None and late_call.request == request:
             # It may be the answer to that call.
-            asked_ids &= self._list_still_there(late_call)
+            asked_ids &= self._list_unchanged_ids(late_call)
         step.asked_ids |= asked_ids
         step.good_ids -= asked_ids
         for ticket in answer.good:
@@ -290,7 +292,7 @@
             if now <= late_at:
                 continue
             self.take_advice(call.request, None, now)
-            self.callers.distrust(call.name, now)
+            self.callers.suspend_caller(call.name, now)
             if step is not None:
                 step.retry_advice_at = now
                 self._late_advice_by_step.setdefault(step.key, call)
@@ -300,7 +302,7 @@
             if self._find_step(key) is not None
         }
 
-    def _list_still_there(self, call):
+    def _list_unchanged_ids(self, call):
         """List the workers of a call that live on: another life may be of another kind.
 
         Args:
@@ -320,10 +322,12 @@
 
 def count_asked(step):
     """Count the workers that a short call for a step names at most, an int."""
-    return min(advising.ASKED_WORKERS, ASKED_MORE + ASKED_A_TASK * len(step.waiting))
+    return min(
+        advising.MAX_ASKED_WORKERS, ASKED_BASE + ASKED_PER_TASK * len(step.waiting)
+    )
 
 
-def walk_unknown(step, candidates):
+def iterate_unasked(step, candidates):
     """Walk the workers that advice was not asked about, in an order of a step's own.
 
     Steps that are asked for at the same time would else all get tickets for the same
@@ -347,7 +351,7 @@
             yield worker
 
 
-def take_roomy(step, workers, reserved, count):
+def take_with_room(step, workers, reserved, count):
     """Take the first workers that have room for a task of a step.
 
     Args:
@@ -363,7 +367,7 @@
     return list(itertools.islice(roomy, count))
 
 
-def list_roomy(step, workers, reserved):
+def list_with_room(step, workers, reserved):
     """List the workers that have room for a task of a step.
 
     Args:
--- a/thornport/cell/decisions/ticketing_test.py
+++ b/thornport/cell/decisions/ticketing_test.py
@@ -53,9 +53,9 @@
             worker_id, f"a:{number}", "press", "h", messages.WorkerState.READY, ROOM
         )
         self.core.take_worker(entry, number + 1, self.now)
-        request = self.core.make_hold(worker_id, self.now)
+        request = self.core.make_poll(worker_id, self.now)
         answer = messages.HoldAnswer(int(self.now * 1000), [], [])
-        self.core.take_hold(request, self.now, answer, self.now)
+        self.core.take_poll(request, self.now, answer, self.now)
 
     def greet(self):
         """Let the processes that call for advice greet."""
@@ -163,7 +163,7 @@
         entry = messages.WorkerEntry("w077", "a:77", "press", "h", ready, room)
         self.core.take_worker(entry, WORKERS + 1, self.now)
         self.submit("a", URGENT, spec.Step(1, spec.Demand(1000, 10, 8), 800))
-        with mock.patch.object(ticketing, "WALKED_WORKERS", 20):
+        with mock.patch.object(ticketing, "MAX_SCANNED_WORKERS", 20):
             calls = []
             for _ in range(WORKERS // 20 + 1):
                 calls += self.list_calls(self.place())
@@ -182,7 +182,7 @@
 
     def test_few_workers_are_asked_about(self):
         (asked,) = self.list_calls(self.submit_some(1))
-        wanted = ticketing.ASKED_MORE + 3 * ticketing.ASKED_A_TASK
+        wanted = ticketing.ASKED_BASE + 3 * ticketing.ASKED_PER_TASK
         self.assertEqual(len(asked), wanted)
 
     def test_jobs_of_one_moment_do_not_ask_for_the_same_workers(self):
@@ -234,7 +234,7 @@
 
     def test_as_many_as_may_be_are_asked_about_at_once(self):
         (asked,) = self.list_calls(self.first)
-        self.assertEqual(len(asked), advising.ASKED_WORKERS)
+        self.assertEqual(len(asked), advising.MAX_ASKED_WORKERS)
 
     def test_no_more_are_asked_about_once_enough_are_good(self):
         # 20 tasks, three to a worker: 7 workers hold it, and 45 are three times more.
@@ -254,13 +254,13 @@
         self.now += ESTIMATE_MS / 1000 - 1.0
         self.greet()
         for worker_id in list(self.core.workers_by_id):
-            request = self.core.make_hold(worker_id, self.now)
+            request = self.core.make_poll(worker_id, self.now)
             rows = [
                 messages.RunningRow(run.key, run.run, "", 83)
                 for run in self.core.workers_by_id[worker_id].runs_by_key.values()
             ]
             answer = messages.HoldAnswer(int(self.now * 1000), rows, [])
-            self.core.take_hold(request, self.now, answer, self.now)
+            self.core.take_poll(request, self.now, answer, self.now)
         (renewed,) = self.list_calls(self.place())
         (asked,) = self.list_calls(self.first)
         self.assertEqual(renewed, {w for w in asked if int(w[1:]) % 2 == 0})
--- a/thornport/cell/owner/looks.py
+++ b/thornport/cell/owner/looks.py
@@ -69,7 +69,7 @@
         retry_s = FIRST_RETRY_S
         while self._session.is_active:
             sent_at = clock.read_monotonic()
-            request = self._core.make_hold(worker_id, sent_at)
+            request = self._core.make_poll(worker_id, sent_at)
             if request is None:
                 if worker_id not in self._core.workers_by_id:
                     return
@@ -98,7 +98,7 @@
         now = clock.read_monotonic()
         worker = self._core.workers_by_id.get(request.worker_id)
         seen_number = 0 if worker is None else worker.seen_number
-        self._core.take_hold(request, sent_at, answer, now)
+        self._core.take_poll(request, sent_at, answer, now)
         if not isinstance(answer, messages.HoldAnswer):
             logs.log(
                 "look-failed",
--- a/thornport/cell/owner/offering.py
+++ b/thornport/cell/owner/offering.py
@@ -74,7 +74,7 @@
         if session is None or not self._daemon.has_store():
             return False
         now = clock.read_monotonic()
-        is_series = session.core.callers.is_series(now)
+        is_series = session.core.callers.has_recent_stop(now)
         return is_series and now < self._daemon.hand_over_by
 
     def hand_over(self):
@@ -93,7 +93,7 @@
         least_cores = self._cores * succession.LARGER_TIMES
         if owned_s >= SETTLED_S and self._daemon.lag.read_s() > BEHIND_S:
             self._offer("it falls behind", least_cores)
-        elif owned_s >= advising.CHANGES_S and is_calm:
+        elif owned_s >= advising.CHANGE_WINDOW_S and is_calm:
             self._offer("its VM is larger", least_cores)
 
     def _offer(self, reason, least_cores=0.0, is_restarted=False):
@@ -103,7 +103,7 @@
             return
         now = clock.read_monotonic()
         callers = session.core.callers
-        is_series = self._daemon.is_stopping or callers.is_series(now)
+        is_series = self._daemon.is_stopping or callers.has_recent_stop(now)
         wanted = succession.Wanted(
             self._daemon.bus.address, least_cores, is_series, is_restarted
         )
--- a/thornport/cell/owner/offering_test.py
+++ b/thornport/cell/owner/offering_test.py
@@ -81,7 +81,7 @@
         self.assertEqual(self.read_offers(has_store=False), [(LARGE, 7)])
 
     def test_one_that_stops_alone_does_not_wait(self):
-        self.now += advising.CHANGES_S
+        self.now += advising.CHANGE_WINDOW_S
         self.daemon.hand_over_by = self.now + 3.0
         self.greet("large", LARGE, 2.0)
         self.assertEqual(self.read_offers(has_store=True), [(LARGE, 7)])
@@ -134,19 +134,19 @@
     def test_not_while_a_peer_stops_or_did_lately(self):
         self.greet("stops", SECOND, 0.5, is_stopping=True)
         self.check_offered(False)
-        self.pass_time(advising.CHANGES_S - 0.5)
+        self.pass_time(advising.CHANGE_WINDOW_S - 0.5)
         self.check_offered(False)
         self.pass_time(1.0)
         self.check_offered(True)
 
     def test_not_while_a_peer_was_started_lately(self):
-        self.greet("new", SECOND, 0.5, up_s=advising.CHANGES_S - 0.5)
+        self.greet("new", SECOND, 0.5, up_s=advising.CHANGE_WINDOW_S - 0.5)
         self.check_offered(False)
         self.pass_time(1.0)
         self.check_offered(True)
 
     def test_not_soon_after_a_takeover(self):
-        self.session.began_at = self.now - advising.CHANGES_S + 0.5
+        self.session.began_at = self.now - advising.CHANGE_WINDOW_S + 0.5
         self.check_offered(False)
         self.pass_time(1.0)
         self.check_offered(True)
--- a/thornport/cell/peers/candidacy.py
+++ b/thornport/cell/peers/candidacy.py
@@ -129,7 +129,7 @@
         """
         lack = max(0.0, 1.0 - self._cores / self._largest_cores)
         turn_s = self._share * CLAIM_SPREAD_S + lack * SMALL_WAIT_S
-        is_series = now - self._stop_heard_at < advising.CHANGES_S
+        is_series = now - self._stop_heard_at < advising.CHANGE_WINDOW_S
         if is_series and now - self._started_at > STARTED_LATELY_S:
             turn_s += SERIES_WAIT_S
         return turn_s
--- a/thornport/cell/peers/candidacy_test.py
+++ b/thornport/cell/peers/candidacy_test.py
@@ -106,7 +106,7 @@
     def test_nobody_waits_while_nothing_changes(self):
         self.assertFalse(self.is_restarted_first(100.5))
         self.hear_stop()
-        self.assertFalse(self.is_restarted_first(100.0 + advising.CHANGES_S))
+        self.assertFalse(self.is_restarted_first(100.0 + advising.CHANGE_WINDOW_S))
 
 
 if __name__ == "__main__":
