--- a/thornport/cell/owner/committing.py
+++ b/thornport/cell/owner/committing.py
@@ -14,12 +14,12 @@
 
 RETRY_S = 0.1  # after a write that the store did not take
 # A transaction is sent again when it has taken this many times as long as usual.
-AGAIN_TIMES = 4
-MIN_AGAIN_S = 0.06  # several times the store's usual answer
-MAX_AGAIN_S = 0.5
-MAX_OPEN = 3  # copies of a transaction that are open together
+RESEND_FACTOR = 4
+MIN_RESEND_S = 0.06  # several times the store's usual answer
+MAX_RESEND_S = 0.5
+MAX_OPEN_COPIES = 3  # copies of a transaction that are open together
 LATENCY_WEIGHT = 0.2  # of the newest answer in the usual latency
-USUAL_S = 0.005  # the store's usual answer, before any has come
+INITIAL_LATENCY_S = 0.005  # the store's usual answer, before any has come
 
 
 class Outcome(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
 class Committer:
     """Commits the transactions of one ledger."""
 
-    __slots__ = ("_is_stopped", "_metrics", "_reactor", "_store", "_typical_s")
+    __slots__ = ("_is_stopped", "_metrics", "_reactor", "_store", "_usual_latency_s")
 
     def __init__(self, reactor, store, metrics):
         """Begin.
@@ -52,7 +52,7 @@
         self._reactor = reactor
         self._store = store
         self._metrics = metrics
-        self._typical_s = USUAL_S
+        self._usual_latency_s = INITIAL_LATENCY_S
         self._is_stopped = False
 
     def stop(self):
@@ -71,7 +71,7 @@
         answers = defer.DeferredQueue()
         open_count = 0
         while not self._is_stopped:
-            if open_count < MAX_OPEN:
+            if open_count < MAX_OPEN_COPIES:
                 open_count += 1
                 sent = tasks.spawn(self._store.commit(transaction), "commit")
                 sent.addCallback(answers.put)
@@ -89,7 +89,9 @@
 
     async def _wait_for_answer(self, answers):
         """Wait for an answer; None when it is time to send again."""
-        wait_s = min(MAX_AGAIN_S, max(MIN_AGAIN_S, AGAIN_TIMES * self._typical_s))
+        wait_s = min(
+            MAX_RESEND_S, max(MIN_RESEND_S, RESEND_FACTOR * self._usual_latency_s)
+        )
         waiting = answers.get().addTimeout(wait_s, self._reactor)
         try:
             return await waiting
@@ -106,5 +108,5 @@
         return None
 
     def _note_latency(self, took_s):
-        self._typical_s += LATENCY_WEIGHT * (took_s - self._typical_s)
+        self._usual_latency_s += LATENCY_WEIGHT * (took_s - self._usual_latency_s)
         self._metrics.observe("ledger.commit_ms", took_s * 1000)
--- a/thornport/cell/owner/following.py
+++ b/thornport/cell/owner/following.py
@@ -17,10 +17,10 @@
 # Between answers of a watch: peers tell of jobs at once, so the watch is for
 # what they could not tell, and calls are priced.
 WATCH_GAP_S = 0.3
-RETRY_S = 0.1  # after a read that the store did not answer
+READ_RETRY_S = 0.1  # after a read that the store did not answer
 
 
-class Kept(msgspec.Struct, frozen=True):
+class PrefixSnapshot(msgspec.Struct, frozen=True):
     """What the store keeps under a prefix.
 
     Attributes:
@@ -47,14 +47,14 @@
         self._core = session.core
         self._ports = session.ports
         self._followers = []
-        self._kept_cancels = []
+        self._persisted_cancels = []
         # Revisions of entries that no worker wrote, by the id that they are under.
-        self._left_out = {}
+        self._undecodable_entries = {}
         self._workers_at = None
         self._inbox_at = None
 
     async def read(self):
-        """Read all that is kept, until the store has answered.
+        """Read all persisted records, retrying until the store has answered.
 
         All prefixes are read at once, for a slow store takes long for each. Earlier
         owners write nothing any more, so it does not matter which was read first.
@@ -77,7 +77,7 @@
 
     def follow(self):
         """Follow the keys from where they were read."""
-        self._cancel_kept()
+        self._apply_persisted_cancels()
         self._follow(
             self._ports.worker_prefix,
             self._workers_at,
@@ -101,8 +101,8 @@
         while self._session.is_active:
             read = await watching.read_prefix(self._ports.store, prefix)
             if isinstance(read, result.Success):
-                return Kept(*read.unwrap())
-            await tasks.sleep(self._reactor, RETRY_S)
+                return PrefixSnapshot(*read.unwrap())
+            await tasks.sleep(self._reactor, READ_RETRY_S)
         return None
 
     def _follow(self, prefix, at, take_all, take_change):
@@ -137,9 +137,9 @@
         try:
             entry = self._ports.decode_worker(worker_id, item.value)
         except self._ports.decode_errors as error:
-            self._leave_out(worker_id, item.revision, str(error))
+            self._drop_undecodable(worker_id, item.revision, str(error))
             return False
-        self._left_out.pop(worker_id, None)
+        self._undecodable_entries.pop(worker_id, None)
         known = self._core.workers_by_id.get(worker_id)
         if known is None or has_changed(known.entry, entry):
             logs.log(
@@ -157,10 +157,10 @@
         self._core.take_worker(entry, item.revision, clock.read_monotonic())
         return True
 
-    def _leave_out(self, worker_id, revision, reason):
+    def _drop_undecodable(self, worker_id, revision, reason):
         """Take no worker from an entry that some other writer has made."""
-        if self._left_out.get(worker_id) != revision:
-            self._left_out[worker_id] = revision
+        if self._undecodable_entries.get(worker_id) != revision:
+            self._undecodable_entries[worker_id] = revision
             logs.log("worker-entry-undecodable", worker=worker_id, reason=reason)
         self._core.drop_worker(worker_id, clock.read_monotonic())
 
@@ -171,7 +171,7 @@
     def _take_worker_change(self, change):
         if change.value is None:
             worker_id = change.key.removeprefix(self._ports.worker_prefix)
-            self._left_out.pop(worker_id, None)
+            self._undecodable_entries.pop(worker_id, None)
             logs.log("worker-unlisted", worker=worker_id, revision=change.revision)
             self._core.drop_worker(
                 worker_id, clock.read_monotonic(), self._may_come_back()
@@ -188,23 +188,23 @@
         await tasks.act_in_parts(
             self._reactor, items, lambda part: found.extend(decode_jobs(part))
         )
-        found.sort(key=read_acceptance)
+        found.sort(key=get_accepted_at_ms)
         await tasks.act_in_parts(self._reactor, found, self._take_jobs)
-        self._kept_cancels = list_cancels(items)
+        self._persisted_cancels = list_cancels(items)
 
     def _take_inbox(self, items):
         """Take all there is, read anew after the store forgot its history."""
-        self._take_jobs(sorted(decode_jobs(items), key=read_acceptance))
-        self._kept_cancels = list_cancels(items)
-        self._cancel_kept()
+        self._take_jobs(sorted(decode_jobs(items), key=get_accepted_at_ms))
+        self._persisted_cancels = list_cancels(items)
+        self._apply_persisted_cancels()
         self._session.pump()
 
     def _take_jobs(self, jobs):
-        for kept in jobs:
-            self._core.take_job(kept, clock.read_monotonic())
+        for job_record in jobs:
+            self._core.take_job(job_record, clock.read_monotonic())
 
-    def _cancel_kept(self):
-        for job_id in self._kept_cancels:
+    def _apply_persisted_cancels(self):
+        for job_id in self._persisted_cancels:
             self._core.take_cancel(job_id, clock.read_monotonic())
 
     def _take_inbox_change(self, change):
@@ -212,10 +212,10 @@
             return
         now = clock.read_monotonic()
         if change.key.startswith(record.JOB_PREFIX):
-            kept = decode_job(change.key, change.value)
+            job_record = decode_job(change.key, change.value)
             # The owner's own writes and what peers told of come back here.
-            if kept is not None and self._core.take_job(kept, now):
-                logs.log("job-taken", job=kept.job_id, revision=change.revision)
+            if job_record is not None and self._core.take_job(job_record, now):
+                logs.log("job-taken", job=job_record.job_id, revision=change.revision)
         elif change.key.startswith(record.CANCEL_PREFIX):
             job_id = change.key.removeprefix(record.CANCEL_PREFIX)
             self._core.take_cancel(job_id, now)
@@ -227,11 +227,11 @@
         for item in items:
             job_id = item.key.removeprefix(record.PROGRESS_PREFIX)
             try:
-                kept = record.decode_progress(item.value)
+                progress = record.decode_progress(item.value)
             except record.RecordError as error:
                 logs.log("progress-undecodable", job=job_id, reason=str(error))
                 continue
-            self._core.restore_progress(job_id, kept, now)
+            self._core.restore_progress(job_id, progress, now)
 
 
 def has_changed(known, entry):
@@ -242,10 +242,10 @@
     Returns:
       A bool.
     """
-    return read_listed(known) != read_listed(entry)
+    return get_logged_fields(known) != get_logged_fields(entry)
 
 
-def read_listed(entry):
+def get_logged_fields(entry):
     """What a change of the log line for an entry depends on: a tuple."""
     return entry.state, entry.total, entry.address, entry.started_at_ms
 
@@ -260,18 +260,18 @@
     """
     jobs = [item for item in items if item.key.startswith(record.JOB_PREFIX)]
     decoded = (decode_job(item.key, item.value) for item in jobs)
-    return [kept for kept in decoded if kept is not None]
+    return [job_record for job_record in decoded if job_record is not None]
 
 
-def read_acceptance(kept):
+def get_accepted_at_ms(job_record):
     """Read when a job was accepted, by which jobs are sorted.
 
     Args:
-      kept: A record.JobRecord.
+      job_record: A record.JobRecord.
     Returns:
       An int, milliseconds since 1970.
     """
-    return kept.accepted_at_ms
+    return job_record.accepted_at_ms
 
 
 def list_cancels(items):
--- a/thornport/cell/owner/holding.py
+++ b/thornport/cell/owner/holding.py
@@ -32,7 +32,7 @@
         self._reactor = reactor
         self._daemon = daemon
         self._metrics = metrics
-        self._standing = ownership.Standing(self)
+        self._state = ownership.OwnershipState(self)
         self._claimer = None
         self._offered_token = transactions.ABSENT_REVISION
         self._offered_by = ""
@@ -59,12 +59,12 @@
         """
         if self.session is not None:
             logs.log("handing-over", token=self.session.core.token)
-        self._standing.leave()
+        self._state.leave()
         tasks.spawn(self._give_up(give_up_at), "give-up")
 
     async def _give_up(self, at):
         await tasks.sleep(self._reactor, max(0.0, at - clock.read_monotonic()))
-        self._standing.time_is_over()
+        self._state.deadline_passed()
 
     def take_config(self, config):
         """Take a new version of the configuration.
@@ -107,7 +107,7 @@
         logs.log("offer-taken", token=token)
         self._offered_token = token
         self._offered_by = offered_by
-        self._standing.key_is_offered()
+        self._state.key_is_offered()
         return True
 
     def _take_owner(self, value, revision):
@@ -117,12 +117,12 @@
         address = self.owner.address if self.owner else ""
         self._daemon.liveness.take_owner(address, revision)
         if self.owner is None:
-            self._standing.key_is_free()
+            self._state.key_is_free()
         elif (
             self.session is not None
             and self.owner.incarnation != self._claimer.incarnation
         ):
-            self._standing.key_is_lost()
+            self._state.key_is_lost()
         if self.owner is not None and self.owner != known:
             self._daemon.greeting.meet(self.owner)
 
@@ -143,15 +143,15 @@
         self._offered_token, self._offered_by = transactions.ABSENT_REVISION, ""
         is_taken = self.owner is not None and offered == transactions.ABSENT_REVISION
         if is_taken or self._daemon.is_stopping:
-            self._standing.claim_failed()
+            self._state.claim_failed()
             return
         if await self._claimer.claim(offered):
             # The watch tells it a little later, and no other claim may begin.
             self.owner = self._claimer.owner
-            self._standing.claim_won()
+            self._state.claim_won()
             return
-        self._standing.claim_failed()
-        if offered_by and not self._claimer.is_anothers:
+        self._state.claim_failed()
+        if offered_by and not self._claimer.is_held_by_other:
             # The store has turned us away too: the owner asks the next one.
             answer = peering.OfferAnswer(offered, is_taken=False)
             self._daemon.bus.send(offered_by, "", answer)
@@ -160,7 +160,7 @@
 
     def _claim_if_free(self):
         if self.owner is None:
-            self._standing.key_is_free()
+            self._state.key_is_free()
 
     def rebuild(self):
         """Read what an earlier owner kept."""
@@ -171,7 +171,7 @@
             self._metrics,
             self._daemon.settings,
             self._claimer,
-            self._standing.key_is_lost,
+            self._state.key_is_lost,
             self.known_lapses,
         )
         renewing = self._claimer.renew(lambda: session.is_active, session.confirm)
@@ -180,7 +180,7 @@
 
     async def _rebuild(self, session):
         if await session.rebuild(self._daemon.config) and session is self.session:
-            self._standing.rebuilt()
+            self._state.rebuilt()
 
     def confirm(self):
         """The key is gone while this process decides."""
--- a/thornport/cell/owner/holding_test.py
+++ b/thornport/cell/owner/holding_test.py
@@ -39,7 +39,7 @@
         """Make a claimer whose claims are answered as `answers` says."""
         self.answers = [True]
         self.claimer = mock.Mock(
-            incarnation=OWN.incarnation, owner=OWN, token=TOKEN, is_anothers=False
+            incarnation=OWN.incarnation, owner=OWN, token=TOKEN, is_held_by_other=False
         )
         self.claimer.claim.side_effect = lambda _: defer.succeed(self.answers.pop(0))
         self.claimer.renew.side_effect = lambda *_: defer.Deferred()
@@ -128,7 +128,7 @@
     def test_owner_is_not_told_of_a_key_that_another_has_by_now(self):
         self.tell_owner(OTHER)
         self.answers[:] = [False]
-        self.claimer.is_anothers = True
+        self.claimer.is_held_by_other = True
         self.assertTrue(self.holding.take_offer(TOKEN, OTHER.address))
         self.clock.advance(LONG_S)
         self.daemon.bus.send.assert_not_called()
--- a/thornport/cell/owner/lanes.py
+++ b/thornport/cell/owner/lanes.py
@@ -48,8 +48,8 @@
     revision: int = transactions.ABSENT_REVISION
     sequence: int = 0
     busy_since: float | None = None
-    wants_key: bool = False
-    is_due: bool = False
+    awaits_key: bool = False
+    must_confirm: bool = False
     sleeping: defer.Deferred | None = None
 
     @property
@@ -57,14 +57,14 @@
         """The key of its head, a str."""
         return f"{HEAD_KEY}/{self.number}" if self.number else HEAD_KEY
 
-    def wake(self, is_due=False):
+    def wake(self, must_confirm=False):
         """End a sleep.
 
         Args:
           is_due: A bool, whether it is time to confirm; one that does not sleep does
             so next.
         """
-        self.is_due = self.is_due or is_due
+        self.must_confirm = self.must_confirm or must_confirm
         sleeping, self.sleeping = self.sleeping, None
         if sleeping is not None:
             sleeping.callback(None)
--- a/thornport/cell/owner/ledger.py
+++ b/thornport/cell/owner/ledger.py
@@ -26,10 +26,10 @@
 LANES = 6
 # A lane joins when the one before it has waited this long: several times the store's
 # usual answer, for each transaction is a call.
-OVERLAP_S = 0.02
+LANE_JOIN_DELAY_S = 0.02
 # Between transactions, so that records share one: calls are priced, but urgent
 # jobs are in time by tens of milliseconds.
-GAP_S = 0.004
+TRANSACTION_GAP_S = 0.004
 CONFIRM_PERIOD_S = 2.0  # an idle owner confirms that it is the owner
 
 
@@ -76,7 +76,7 @@
             lane.wake()
         self._end_regaining(None)
 
-    def wake(self, is_due=False):
+    def wake(self, must_confirm=False):
         """There is something to keep.
 
         Args:
@@ -84,7 +84,7 @@
         """
         for lane in self._lanes:
             if self._may_start(lane):
-                lane.wake(is_due)
+                lane.wake(must_confirm)
 
     async def read_heads(self):
         """Read the heads; a bool, whether the store answered."""
@@ -112,7 +112,7 @@
         """
         return await self._commit(self._lanes[0], None) is not None
 
-    async def write(self, make_batch, take_kept):
+    async def write(self, make_batch, take_persisted):
         """Write batches until stopped or until the key is not ours.
 
         Args:
@@ -120,28 +120,28 @@
           take_kept: A callable of a batch, or None, and the time it was sent.
         """
         writers = [
-            tasks.spawn(self._write(lane, make_batch, take_kept), "write-lane")
+            tasks.spawn(self._write(lane, make_batch, take_persisted), "write-lane")
             for lane in self._lanes
         ]
         await defer.DeferredList(writers)
 
-    async def _write(self, lane, make_batch, take_kept):
+    async def _write(self, lane, make_batch, take_persisted):
         """Write the batches of one lane; when it ends, all do."""
         while not self._is_stopped:
             batch = make_batch() if self._may_start(lane) else None
-            if batch is None and not lane.is_due:
+            if batch is None and not lane.must_confirm:
                 await self._sleep(lane)
                 continue
             # Only what is sent after an order to confirm tells: a transaction that was
             # open then may have been applied before the key went.
-            lane.is_due = False
+            lane.must_confirm = False
             sent_at = await self._commit(lane, batch)
             if sent_at is None:
                 self.stop()
             if self._is_stopped:
                 return
-            take_kept(batch, sent_at)
-            await tasks.sleep(self._reactor, GAP_S)
+            take_persisted(batch, sent_at)
+            await tasks.sleep(self._reactor, TRANSACTION_GAP_S)
 
     def _may_start(self, lane):
         """Whether a lane may begin: the one before it has waited for long."""
@@ -150,7 +150,7 @@
         busy_since = self._lanes[lane.number - 1].busy_since
         if busy_since is None:
             return False
-        return clock.read_monotonic() - busy_since >= OVERLAP_S
+        return clock.read_monotonic() - busy_since >= LANE_JOIN_DELAY_S
 
     async def _sleep(self, lane):
         """Wait for something to keep, or until it is time to confirm."""
@@ -159,7 +159,10 @@
             await sleeping
             return
         await tasks.wait_timed(
-            self._reactor, sleeping, CONFIRM_PERIOD_S, lambda: lane.wake(is_due=True)
+            self._reactor,
+            sleeping,
+            CONFIRM_PERIOD_S,
+            lambda: lane.wake(must_confirm=True),
         )
 
     async def _commit(self, lane, batch):
@@ -170,21 +173,21 @@
           the key is not ours any more.
         """
         lane.busy_since = clock.read_monotonic()
-        joining = self._let_join_later(lane)
+        timer = self._schedule_next_lane(lane)
         try:
             return await self._commit_busy(lane, batch)
         finally:
             lane.busy_since = None
-            self._begin_regaining()
-            if joining is not None and joining.active():
-                joining.cancel()
+            self._start_regaining()
+            if timer is not None and timer.active():
+                timer.cancel()
 
-    def _let_join_later(self, lane):
+    def _schedule_next_lane(self, lane):
         """Wake the lane after this one in a while; the timer, None for the last."""
         if lane.number + 1 == LANES:
             return None
-        joining = self._lanes[lane.number + 1]
-        return self._reactor.callLater(OVERLAP_S, joining.wake)
+        next_lane = self._lanes[lane.number + 1]
+        return self._reactor.callLater(LANE_JOIN_DELAY_S, next_lane.wake)
 
     async def _commit_busy(self, lane, batch):
         while not self._is_stopped:
@@ -231,15 +234,17 @@
         Returns:
           A bool, whether it is ours again.
         """
-        lane.wants_key = True
+        lane.awaits_key = True
         waiting = defer.Deferred()
         self._regaining.append(waiting)
-        self._begin_regaining()
+        self._start_regaining()
         return await waiting
 
-    def _begin_regaining(self):
+    def _start_regaining(self):
         """Try to get the key back if each open transaction waits for it."""
-        settled = all(lane.wants_key or lane.busy_since is None for lane in self._lanes)
+        settled = all(
+            lane.awaits_key or lane.busy_since is None for lane in self._lanes
+        )
         if self._regaining and settled and not self._is_regaining:
             self._is_regaining = True
             tasks.spawn(self._get_key_back(), "regain")
@@ -263,7 +268,7 @@
         if token is not None:
             self._token = token
         for lane in self._lanes:
-            lane.wants_key = False
+            lane.awaits_key = False
         regaining, self._regaining = self._regaining, []
         for waiting in regaining:
             waiting.callback(token is not None)
--- a/thornport/cell/owner/ledger_test.py
+++ b/thornport/cell/owner/ledger_test.py
@@ -239,8 +239,8 @@
         self.begin("b")
         self.assertEqual(self.list_kept(), ["a", "b"])
         self.lose_key()
-        self.ledger.wake(is_due=True)
-        self.clock.advance(ledger.GAP_S)
+        self.ledger.wake(must_confirm=True)
+        self.clock.advance(ledger.TRANSACTION_GAP_S)
         self.assertEqual(len(self.regained_heads), 1)
 
     def test_key_that_goes_after_a_record_whose_answer_is_late_is_got_back(self):
@@ -249,20 +249,20 @@
         self.begin("b")
         self.store.late_answer = None
         self.lose_key()
-        self.ledger.wake(is_due=True)
+        self.ledger.wake(must_confirm=True)
         late.callback(None)
-        self.clock.advance(ledger.GAP_S)
+        self.clock.advance(ledger.TRANSACTION_GAP_S)
         self.assertEqual(self.list_kept(), ["a", "b"])
         self.assertEqual(len(self.regained_heads), 1)
 
     def test_record_that_is_sent_after_the_order_confirms_too(self):
         self.begin("a")
-        self.ledger.wake(is_due=True)
+        self.ledger.wake(must_confirm=True)
         self.begin("b")
-        self.clock.advance(ledger.GAP_S)
+        self.clock.advance(ledger.TRANSACTION_GAP_S)
         commits = self.store.commits
         self.assertEqual(self.list_kept(), ["a", "b"])
-        self.clock.advance(ledger.GAP_S)
+        self.clock.advance(ledger.TRANSACTION_GAP_S)
         self.assertEqual(self.store.commits, commits)
 
     def test_record_kept_before_the_key_ran_out_is_not_written_again(self):
--- a/thornport/cell/owner/noting.py
+++ b/thornport/cell/owner/noting.py
@@ -7,7 +7,7 @@
 from thornport.kernel import logs
 
 # Counters of notes.
-NAME_BY_NOTE = {
+COUNTER_BY_NOTE = {
     notes.RunLost: "runs.lost",
     notes.IncarnationOver: "workers.over",
     notes.LimitWait: "steps.at_limit",
--- a/thornport/cell/owner/offering.py
+++ b/thornport/cell/owner/offering.py
@@ -13,15 +13,15 @@
 # Looks in a row that find the store away before the first offer: when the store turns
 # slow, its first late answers come just after it counts as away, and a takeover by a
 # slow store takes seconds.
-AWAY_LOOKS = 2
+AWAY_CHECKS = 2
 # Between looks whether a larger VM should have the cell; an offer takes less.
 HAND_OVER_PERIOD_S = 1.0
 # An owner whose timers fire this late on average can't carry its cell; one that can is
 # late by some milliseconds.
-BEHIND_S = 0.05
+MAX_TIMER_LAG_S = 0.05
 # By then the processes have greeted a new owner twice, and it has taken in what waited
 # while nobody decided.
-SETTLED_S = 1.5
+SETTLE_PERIOD_S = 1.5
 
 
 class Offering:
@@ -36,7 +36,7 @@
         """
         self._daemon = daemon
         self._cores = cores
-        self._away_looks = 0
+        self._away_checks = 0
         self._succession = succession.Succession()
         self._reactor = None
 
@@ -47,21 +47,21 @@
           reactor: Twisted's reactor.
         """
         self._reactor = reactor
-        tasks.call_periodically(reactor, OFFER_PERIOD_S, self.look, "offer")
+        tasks.call_periodically(reactor, OFFER_PERIOD_S, self.check_store, "offer")
         tasks.call_periodically(
             reactor, HAND_OVER_PERIOD_S, self.hand_over, "hand-over"
         )
 
-    def look(self):
+    def check_store(self):
         """Look whether the owner has to be replaced, and offer the cell then."""
-        self._away_looks = 0 if self._daemon.has_store() else self._away_looks + 1
+        self._away_checks = 0 if self._daemon.has_store() else self._away_checks + 1
         self.offer()
 
     def offer(self):
         """Offer the cell to a peer if this process stops or lacks the store."""
         if self._daemon.is_stopping:
             self._offer("the process stops", is_restarted=self._may_wait())
-        elif self._away_looks >= AWAY_LOOKS:
+        elif self._away_checks >= AWAY_CHECKS:
             self._offer("the store is away")
 
     def _may_wait(self):
@@ -90,13 +90,13 @@
         now = clock.read_monotonic()
         owned_s = now - session.began_at
         is_calm = not session.core.callers.is_changing(now)
-        least_cores = self._cores * succession.LARGER_TIMES
-        if owned_s >= SETTLED_S and self._daemon.lag.read_s() > BEHIND_S:
-            self._offer("it falls behind", least_cores)
+        cores_above = self._cores * succession.LARGER_FACTOR
+        if owned_s >= SETTLE_PERIOD_S and self._daemon.lag.read_s() > MAX_TIMER_LAG_S:
+            self._offer("it falls behind", cores_above)
         elif owned_s >= advising.CHANGE_WINDOW_S and is_calm:
-            self._offer("its VM is larger", least_cores)
+            self._offer("its VM is larger", cores_above)
 
-    def _offer(self, reason, least_cores=0.0, is_restarted=False):
+    def _offer(self, reason, cores_above=0.0, is_restarted=False):
         """Offer the cell to the best process, unless an offer is open."""
         session = self._daemon.session
         if session is None:
@@ -104,17 +104,17 @@
         now = clock.read_monotonic()
         callers = session.core.callers
         is_series = self._daemon.is_stopping or callers.has_recent_stop(now)
-        wanted = succession.Wanted(
-            self._daemon.bus.address, least_cores, is_series, is_restarted
+        requirements = succession.Requirements(
+            self._daemon.bus.address, cores_above, is_series, is_restarted
         )
-        chosen = self._succession.choose(callers, wanted, now)
+        chosen = self._succession.choose(callers, requirements, now)
         if chosen is None:
             return
         token = session.core.token
         logs.log("cell-offered", token=token, to=chosen.name, reason=reason)
         self._succession.note_offered(chosen.address, token, now)
         self._daemon.bus.send(chosen.address, "", peering.Offer(token))
-        self._reactor.callLater(succession.ANSWER_S, self.offer)
+        self._reactor.callLater(succession.ANSWER_TIMEOUT_S, self.offer)
 
     def take_answer(self, address, message):
         """Take the answer to an offer; after a no, the next process is asked.
--- a/thornport/cell/owner/offering_test.py
+++ b/thornport/cell/owner/offering_test.py
@@ -43,7 +43,7 @@
     def read_offers(self, has_store):
         """What was offered, to which addresses, after the next looks."""
         self.daemon.has_store.return_value = has_store
-        self.offering.look()
+        self.offering.check_store()
         self.offering.hand_over()
         return self.read_sent()
 
@@ -156,7 +156,7 @@
         self.read_offers(has_store=False)
         self.assertEqual(self.read_offers(has_store=False), [(LARGE, 7)])
         self.daemon.is_stopping = True
-        self.now += succession.PASS_OVER_S
+        self.now += succession.SKIP_PERIOD_S
         self.assertEqual(self.read_offers(has_store=True), [(LARGE, 7)] * 2)
 
 
@@ -171,27 +171,27 @@
     def setUp(self):
         super().setUp()
         self.greet("stops", "10.0.0.9:1", 0.5, is_stopping=True)
-        self.session.began_at = self.now - offering.SETTLED_S
+        self.session.began_at = self.now - offering.SETTLE_PERIOD_S
 
     def lag(self, seconds):
         """Let the timers of the owner fire so late."""
         self.daemon.lag.read_s.return_value = seconds
 
     def test_it_hands_over_in_a_series(self):
-        self.lag(2 * offering.BEHIND_S)
+        self.lag(2 * offering.MAX_TIMER_LAG_S)
         self.assertEqual(self.read_offers(has_store=True), [(LARGE, 7)])
 
     def test_one_that_keeps_up_stays(self):
-        self.lag(0.5 * offering.BEHIND_S)
+        self.lag(0.5 * offering.MAX_TIMER_LAG_S)
         self.assertEqual(self.read_offers(has_store=True), [])
 
     def test_not_while_it_takes_in_what_waited_for_an_owner(self):
-        self.lag(2 * offering.BEHIND_S)
-        self.session.began_at = self.now - 0.5 * offering.SETTLED_S
+        self.lag(2 * offering.MAX_TIMER_LAG_S)
+        self.session.began_at = self.now - 0.5 * offering.SETTLE_PERIOD_S
         self.assertEqual(self.read_offers(has_store=True), [])
 
     def test_nobody_is_asked_whose_vm_is_no_larger(self):
-        self.lag(2 * offering.BEHIND_S)
+        self.lag(2 * offering.MAX_TIMER_LAG_S)
         self.greet("large", LARGE, 0.5)
         self.assertEqual(self.read_offers(has_store=True), [])
 
@@ -214,10 +214,10 @@
         self.assertEqual(self.read_sent(), [(LARGE, 7), (SECOND, 7)])
 
     def test_next_one_is_asked_when_there_is_no_answer(self):
-        wait_s, look_again = self.reactor.callLater.call_args.args
-        self.assertEqual(wait_s, succession.ANSWER_S)
+        wait_s, poll_again = self.reactor.callLater.call_args.args
+        self.assertEqual(wait_s, succession.ANSWER_TIMEOUT_S)
         self.now += wait_s
-        look_again()
+        poll_again()
         self.assertEqual(self.read_sent(), [(LARGE, 7), (SECOND, 7)])
 
     def test_next_one_is_asked_at_once_after_a_claim_that_failed(self):
@@ -227,7 +227,7 @@
 
     def test_nobody_else_is_asked_while_one_claims(self):
         self.answer(LARGE, is_taken=True)
-        self.now += succession.ANSWER_S
+        self.now += succession.ANSWER_TIMEOUT_S
         self.assertEqual(self.read_offers(has_store=False), [(LARGE, 7)])
 
 
--- a/thornport/cell/owner/owner.py
+++ b/thornport/cell/owner/owner.py
@@ -4,22 +4,22 @@
 
 from thornport.cell.decisions import core, leases
 from thornport.cell.dispatch import dispatching
-from thornport.cell.owner import following, ledger, looks, noting, orders
+from thornport.cell.owner import commands, following, ledger, noting, polling
 from thornport.cell.peers import lapses, peering
 from thornport.jobs import record
 from thornport.kernel import clock, logs, tasks
 
-ROUND_GAP_S = 0.002  # from a change to a round of placement, to gather changes
+PASS_GAP_S = 0.002  # from a change to a round of placement, to gather changes
 # Rounds take a third of the processor at most: answers of workers, which a successor
 # has many of at first, and callers need the rest.
-ROUND_REST = 2.0
-MAX_ROUND_GAP_S = 0.1
+PASS_REST_FACTOR = 2.0
+MAX_PASS_GAP_S = 0.1
 # Between rounds for all steps; those between are for urgent ones alone, which are late
 # after tenths of a second. Most of a round for all is for steps that wait for room, and
 # those are late after seconds.
-FULL_ROUND_GAP_S = 0.02
+FULL_PASS_GAP_S = 0.02
 TICK_S = 0.1  # between searches for what is due
-RETRY_S = 0.1  # after a read that the store did not answer
+READ_RETRY_S = 0.1  # after a read that the store did not answer
 # An earlier owner renews this long without the store; then its leases lapse.
 EARLIER_OWNER_S = leases.UNCONFIRMED_LIMIT_S + leases.EARLIER_LEASE_S
 ASK_CEASED_S = 0.3  # between questions to earlier owners
@@ -73,12 +73,12 @@
         )
         self._following = following.Following(reactor, self)
         self.workers = dispatching.DispatchedWorkers(reactor, bus, ports.workers)
-        self.looks = looks.Looks(reactor, self)
+        self.polling = polling.Polling(reactor, self)
         self._tickers = []
-        self._round = None
-        self._round_gap_s = ROUND_GAP_S
-        self._full_round_at = now
-        self._needs_full_round = False
+        self._next_pass = None
+        self._pass_gap_s = PASS_GAP_S
+        self._full_pass_at = now
+        self._needs_full_pass = False
         self.is_active = True
         self.is_deciding = False
 
@@ -86,7 +86,7 @@
         """End this ownership; nothing is decided any more."""
         self.is_active = False
         self.is_deciding = False
-        self.looks.end_pauses()
+        self.polling.end_pauses()
         self.workers.close()
         self._ledger.stop()
         self._following.stop()
@@ -134,7 +134,7 @@
     async def _register(self):
         """Read the heads, and write the first; a bool, whether the key is ours."""
         while self.is_active and not await self._ledger.read_heads():
-            await tasks.sleep(self._reactor, RETRY_S)
+            await tasks.sleep(self._reactor, READ_RETRY_S)
         return self.is_active and await self._ledger.register()
 
     def take_incoming(self, value):
@@ -148,7 +148,7 @@
             self.core.take_incoming(kept, clock.read_monotonic())
             self.pump()
 
-    def take_kept_by_peer(self, job_id, is_cancel):
+    def take_persisted_by_peer(self, job_id, is_cancel):
         """Take that a job, or its cancel, is in the store.
 
         The watch of the store tells it too, a little later.
@@ -217,7 +217,7 @@
     def confirm(self):
         """The key seems to be gone: find out, and get it back if it is free."""
         if self.is_deciding:
-            self._ledger.wake(is_due=True)
+            self._ledger.wake(must_confirm=True)
         else:
             self.lose("the key is gone")
 
@@ -230,10 +230,10 @@
         return token
 
     async def _write(self):
-        await self._ledger.write(self.core.make_batch, self._take_kept)
+        await self._ledger.write(self.core.make_batch, self._take_persisted)
         self.lose("a transaction was refused")
 
-    def _take_kept(self, batch, sent_at):
+    def _take_persisted(self, batch, sent_at):
         self.core.take_kept(batch, sent_at, clock.read_monotonic())
         for decided in batch.states if batch is not None else ():
             if decided.cause is not None:
@@ -252,7 +252,7 @@
         self.core.tick(now, int(time.time() * 1000))
         entries = [worker.entry for worker in self.core.workers_by_id.values()]
         self.workers.assign(self.core.callers.list_staying(now), entries, now)
-        self.looks.look_at_new()
+        self.polling.poll_new_workers()
         self.pump()
 
     def _log_late(self):
@@ -291,41 +291,41 @@
             self.lose("a worker has seen a higher token")
             return
         for note in self.core.take_notes():
-            self.metrics.count(noting.NAME_BY_NOTE[type(note)])
+            self.metrics.count(noting.COUNTER_BY_NOTE[type(note)])
             noting.log_note(note)
-        for order in self.core.take_orders():
-            orders.carry_out(order, self)
+        for command in self.core.take_orders():
+            commands.execute(command, self)
         if self.core.dirty or self.core.forgotten:
             self._ledger.wake()
-        self._plan_round()
+        self._schedule_pass()
 
-    def _plan_round(self):
+    def _schedule_pass(self):
         """See to the next round, if there is reason for one."""
         if self.core.needs_pass:
-            wait_s = self._round_gap_s
-        elif self._needs_full_round:
-            wait_s = max(0.0, self._full_round_at - clock.read_monotonic())
+            wait_s = self._pass_gap_s
+        elif self._needs_full_pass:
+            wait_s = max(0.0, self._full_pass_at - clock.read_monotonic())
         else:
             return
-        if self._round is None:
-            self._round = self._reactor.callLater(wait_s, self._place)
-        elif self._round.getTime() > self._reactor.seconds() + wait_s:
-            self._round.reset(wait_s)
+        if self._next_pass is None:
+            self._next_pass = self._reactor.callLater(wait_s, self._place)
+        elif self._next_pass.getTime() > self._reactor.seconds() + wait_s:
+            self._next_pass.reset(wait_s)
 
     def _place(self):
-        self._round = None
+        self._next_pass = None
         if not self.is_deciding:
             return
         began = clock.read_monotonic()
-        is_full = began >= self._full_round_at
+        is_full = began >= self._full_pass_at
         self.core.place(began, only_urgent=not is_full)
         ended = clock.read_monotonic()
         self.metrics.observe("placement.round_ms", (ended - began) * clock.MS_PER_S)
-        rest_s = min(MAX_ROUND_GAP_S, ROUND_REST * (ended - began))
-        self._round_gap_s = max(ROUND_GAP_S, rest_s)
-        self._needs_full_round = not is_full
+        rest_s = min(MAX_PASS_GAP_S, PASS_REST_FACTOR * (ended - began))
+        self._pass_gap_s = max(PASS_GAP_S, rest_s)
+        self._needs_full_pass = not is_full
         if is_full:
-            self._full_round_at = ended + max(FULL_ROUND_GAP_S, rest_s)
+            self._full_pass_at = ended + max(FULL_PASS_GAP_S, rest_s)
         self.pump()
 
 
--- a/thornport/cell/owner/ownership.py
+++ b/thornport/cell/owner/ownership.py
@@ -28,7 +28,7 @@
     lease_id: int
 
 
-class Standing:
+class OwnershipState:
     """The states of a process towards its cell.
 
     A process follows until the key is free, claims it, rebuilds what the
@@ -111,7 +111,7 @@
         """The process was told to stop."""
 
     @machine.input()
-    def time_is_over(self):
+    def deadline_passed(self):
         """The process ends soon and gives the cell up."""
 
     @machine.output()
@@ -157,16 +157,16 @@
 
     last_claiming.upon(claim_failed, enter=leaving, outputs=[])
     last_claiming.upon(claim_won, enter=last_rebuilding, outputs=[_rebuild])
-    last_claiming.upon(time_is_over, enter=leaving, outputs=[])
+    last_claiming.upon(deadline_passed, enter=leaving, outputs=[])
 
     last_rebuilding.upon(rebuilt, enter=handing_over, outputs=[_decide])
     last_rebuilding.upon(key_is_lost, enter=leaving, outputs=[_forget])
     last_rebuilding.upon(key_is_free, enter=leaving, outputs=[_forget])
-    last_rebuilding.upon(time_is_over, enter=leaving, outputs=[_forget, _release])
+    last_rebuilding.upon(deadline_passed, enter=leaving, outputs=[_forget, _release])
 
     handing_over.upon(key_is_lost, enter=leaving, outputs=[_forget])
     handing_over.upon(key_is_free, enter=handing_over, outputs=[_confirm])
-    handing_over.upon(time_is_over, enter=leaving, outputs=[_forget, _release])
+    handing_over.upon(deadline_passed, enter=leaving, outputs=[_forget, _release])
 
     # A claim that was on its way when the time was over: nobody waits for its lease.
     leaving.upon(claim_won, enter=leaving, outputs=[_release])
@@ -174,15 +174,18 @@
     # What says nothing new, or comes too late to matter: the machine raises on an
     # input that a state does not take.
     for state, inputs in (
-        (following, (claim_failed, claim_won, rebuilt, key_is_lost, time_is_over)),
-        (claiming, (key_is_free, key_is_offered, rebuilt, key_is_lost, time_is_over)),
-        (rebuilding, (key_is_offered, claim_failed, claim_won, time_is_over)),
-        (deciding, (key_is_offered, claim_failed, claim_won, rebuilt, time_is_over)),
+        (following, (claim_failed, claim_won, rebuilt, key_is_lost, deadline_passed)),
+        (
+            claiming,
+            (key_is_free, key_is_offered, rebuilt, key_is_lost, deadline_passed),
+        ),
+        (rebuilding, (key_is_offered, claim_failed, claim_won, deadline_passed)),
+        (deciding, (key_is_offered, claim_failed, claim_won, rebuilt, deadline_passed)),
         (last_claiming, (key_is_free, key_is_offered, rebuilt, key_is_lost, leave)),
         (last_rebuilding, (key_is_offered, claim_failed, claim_won, leave)),
         (handing_over, (key_is_offered, claim_failed, claim_won, rebuilt, leave)),
         (leaving, (key_is_free, key_is_offered, claim_failed, rebuilt, key_is_lost)),
-        (leaving, (leave, time_is_over)),
+        (leaving, (leave, deadline_passed)),
     ):
         for taken in inputs:
             state.upon(taken, enter=state, outputs=[])
@@ -212,7 +215,7 @@
         self.owner = None
         self.lease_id = 0
         self.token = 0
-        self.is_anothers = False
+        self.is_held_by_other = False
 
     async def claim(self, revision):
         """Try once to get the key.
@@ -224,7 +227,7 @@
           A bool, whether the key is ours; `owner`, `token` and `lease_id` are
           set then.
         """
-        self.is_anothers = False
+        self.is_held_by_other = False
         written = await self._write([transactions.Condition(OWNER_KEY, revision)])
         if revision != transactions.ABSENT_REVISION and is_key_gone(written):
             free = transactions.Condition(OWNER_KEY, transactions.ABSENT_REVISION)
@@ -236,7 +239,7 @@
         may_be_ours = not isinstance(error, port.Unavailable)
         if may_be_ours and await self._find_own():
             return True
-        self.is_anothers = isinstance(error, transactions.Refused)
+        self.is_held_by_other = isinstance(error, transactions.Refused)
         logs.log("owner-key-not-claimed", revision=revision, reason=error.reason)
         return False
 
--- a/thornport/cell/owner/ownership_test.py
+++ b/thornport/cell/owner/ownership_test.py
@@ -19,7 +19,7 @@
     "rebuilt",
     "key_is_lost",
     "leave",
-    "time_is_over",
+    "deadline_passed",
 )
 # How each state is reached.
 PATH_BY_STATE = {
@@ -43,7 +43,7 @@
     def begin(self, *inputs):
         """Begin anew and give inputs; what they have done is forgotten."""
         self.actions = mock.Mock()
-        self.standing = ownership.Standing(self.actions)
+        self.standing = ownership.OwnershipState(self.actions)
         self.give(*inputs)
         self.actions.reset_mock()
 
@@ -73,7 +73,7 @@
                 for second in INPUTS:
                     with self.subTest(state=state, inputs=(first, second)):
                         self.begin(*path, first)
-                        self.give("leave", second, "time_is_over", first)
+                        self.give("leave", second, "deadline_passed", first)
 
 
 class ToldToStop(StandingCase):
@@ -85,12 +85,12 @@
         self.assertEqual(self.read_actions(), [])
         self.give("key_is_lost")
         self.assertEqual(self.read_actions(), ["forget"])
-        self.give("time_is_over", "key_is_free", "key_is_offered")
+        self.give("deadline_passed", "key_is_free", "key_is_offered")
         self.assertEqual(self.read_actions(), ["forget"])
 
     def test_owner_gives_the_key_up_when_its_time_is_over(self):
         self.begin("key_is_free", "claim_won", "rebuilt", "leave")
-        self.give("time_is_over")
+        self.give("deadline_passed")
         self.assertEqual(self.read_actions(), ["forget", "release"])
         self.give("key_is_free", "key_is_offered", "key_is_lost")
         self.assertEqual(self.read_actions(), ["forget", "release"])
@@ -104,7 +104,7 @@
         self.begin("key_is_free", "claim_won")
         self.give("leave", "rebuilt")
         self.assertEqual(self.read_actions(), ["decide"])
-        self.give("time_is_over")
+        self.give("deadline_passed")
         self.assertEqual(self.read_actions(), ["decide", "forget", "release"])
 
     def test_process_that_reads_ceases_when_another_has_the_key(self):
@@ -121,7 +121,7 @@
         self.assertEqual(self.read_actions(), [])
 
     def test_key_that_is_won_too_late_is_released_at_once(self):
-        self.begin("key_is_free", "leave", "time_is_over")
+        self.begin("key_is_free", "leave", "deadline_passed")
         self.give("claim_won")
         self.assertEqual(self.read_actions(), ["release"])
 
@@ -207,14 +207,14 @@
         self.key = transactions.Item(ownership.OWNER_KEY, b"{}", TOKEN + 1)
         self.assertFalse(self.claim())
         self.assertEqual(self.key.revision, TOKEN + 1)
-        self.assertTrue(self.claimer.is_anothers)
+        self.assertTrue(self.claimer.is_held_by_other)
 
     def test_key_of_which_the_store_tells_nothing_is_not_known_as_anothers(self):
         self.store.grant_lease.return_value = defer.succeed(
             result.Failure(port.Unavailable("status 429"))
         )
         self.assertFalse(self.claim())
-        self.assertFalse(self.claimer.is_anothers)
+        self.assertFalse(self.claimer.is_held_by_other)
 
 
 if __name__ == "__main__":
--- a/thornport/cell/owner/looks.py
+++ b/thornport/cell/owner/polling.py
@@ -9,19 +9,19 @@
 from thornport.cell.decisions import messages
 from thornport.kernel import clock, logs, tasks
 
-ACK_POLL_S = 0.004  # between looks whether ends are kept
-LOOK_GAP_S = 0.01  # from an answer with ends to the next look: looks are priced
-PATIENT_GAP_S = 0.25  # likewise, while nothing urgent runs there
-LOOK_RETRY_S = 0.25  # after a second look that a worker did not answer
+ACK_CHECK_PERIOD_S = 0.004  # between looks whether ends are kept
+POLL_GAP_S = 0.01  # from an answer with ends to the next look: looks are priced
+NON_URGENT_POLL_GAP_S = 0.25  # likewise, while nothing urgent runs there
+POLL_RETRY_S = 0.25  # after a second look that a worker did not answer
 # After the first: most often its answer alone was lost, and ends wait to be seen.
-FIRST_RETRY_S = 0.01
-ACK_PATIENCE_S = 0.3  # longest wait until ends are kept before the next look
+FIRST_POLL_RETRY_S = 0.01
+ACK_TIMEOUT_S = 0.3  # longest wait until ends are kept before the next look
 # Likewise where urgent tasks run: while the store is slow, their ends are seen sooner
 # for more looks there.
-URGENT_ACK_PATIENCE_S = 0.1
+URGENT_ACK_TIMEOUT_S = 0.1
 
 
-class Looks:
+class Polling:
     """Sends the looks of one ownership; it has ended when its session has."""
 
     def __init__(self, reactor, session):
@@ -35,23 +35,23 @@
         self._session = session
         self._core = session.core
         self._workers = session.workers
-        self._hurried = set()
-        self._resting_by_worker = {}
-        self._look_by_worker = {}
+        self._cancelled_early = set()
+        self._pause_by_worker = {}
+        self._poll_by_worker = {}
 
-    def look_at_new(self):
+    def poll_new_workers(self):
         """Begin to look at the workers that are not looked at yet."""
         for worker_id, worker in list(self._core.workers_by_id.items()):
-            if worker_id not in self._look_by_worker and worker.entry.address:
-                self._look_by_worker[worker_id] = None
-                tasks.spawn(self._look_at(worker_id), f"look at {worker_id}")
+            if worker_id not in self._poll_by_worker and worker.entry.address:
+                self._poll_by_worker[worker_id] = None
+                tasks.spawn(self._poll_worker(worker_id), f"look at {worker_id}")
 
     def end_pauses(self):
         """End all pauses, so that nothing waits on."""
-        for worker_id in list(self._resting_by_worker):
+        for worker_id in list(self._pause_by_worker):
             self.end_pause(worker_id)
 
-    async def _look_at(self, worker_id):
+    async def _poll_worker(self, worker_id):
         """Look at a worker until it is gone or this ownership has ended.
 
         After an error the next search for workers that are not looked at begins anew:
@@ -59,42 +59,42 @@
         """
         address = self._core.workers_by_id[worker_id].entry.address
         try:
-            await self._keep_looking(worker_id)
+            await self._poll_repeatedly(worker_id)
         finally:
-            self._look_by_worker.pop(worker_id, None)
+            self._poll_by_worker.pop(worker_id, None)
             self._workers.forget(address)
 
-    async def _keep_looking(self, worker_id):
+    async def _poll_repeatedly(self, worker_id):
         """Renew the leases of a worker and see what ended, again and again."""
-        retry_s = FIRST_RETRY_S
+        retry_s = FIRST_POLL_RETRY_S
         while self._session.is_active:
             sent_at = clock.read_monotonic()
             request = self._core.make_poll(worker_id, sent_at)
             if request is None:
                 if worker_id not in self._core.workers_by_id:
                     return
-                await tasks.sleep(self._reactor, LOOK_RETRY_S)
+                await tasks.sleep(self._reactor, POLL_RETRY_S)
                 continue
-            look = defer.ensureDeferred(self._workers.hold(request))
-            self._look_by_worker[worker_id] = look
-            answer = await look
+            poll = defer.ensureDeferred(self._workers.hold(request))
+            self._poll_by_worker[worker_id] = poll
+            answer = await poll
             if not self._session.is_active:
                 return
             self._session.metrics.count("worker.looks")
-            if worker_id not in self._hurried:
-                self._take_look(request, sent_at, answer)
+            if worker_id not in self._cancelled_early:
+                self._take_poll(request, sent_at, answer)
             await self._rest(worker_id, answer, retry_s)
             is_answered = isinstance(answer, messages.HoldAnswer)
-            retry_s = FIRST_RETRY_S if is_answered else LOOK_RETRY_S
+            retry_s = FIRST_POLL_RETRY_S if is_answered else POLL_RETRY_S
 
-    def look_again(self, worker_id):
+    def poll_again(self, worker_id):
         """End a look that waits, so that the next one is sent at once."""
-        look = self._look_by_worker.get(worker_id)
-        if look is not None and not look.called:
-            self._hurried.add(worker_id)
-            look.cancel()
+        poll = self._poll_by_worker.get(worker_id)
+        if poll is not None and not poll.called:
+            self._cancelled_early.add(worker_id)
+            poll.cancel()
 
-    def _take_look(self, request, sent_at, answer):
+    def _take_poll(self, request, sent_at, answer):
         now = clock.read_monotonic()
         worker = self._core.workers_by_id.get(request.worker_id)
         seen_number = 0 if worker is None else worker.seen_number
@@ -114,8 +114,8 @@
 
     async def _rest(self, worker_id, answer, retry_s):
         """Wait until the next look is due."""
-        if worker_id in self._hurried:
-            self._hurried.discard(worker_id)
+        if worker_id in self._cancelled_early:
+            self._cancelled_early.discard(worker_id)
             return
         if not isinstance(answer, messages.HoldAnswer):
             await tasks.sleep(self._reactor, retry_s)
@@ -126,29 +126,32 @@
         if answer.ended:
             await self._pause(worker_id)
         is_urgent = self._core.is_urgent_at(worker_id)
-        patience_s = URGENT_ACK_PATIENCE_S if is_urgent else ACK_PATIENCE_S
-        patience_until = clock.read_monotonic() + patience_s
-        while self._session.is_active and clock.read_monotonic() < patience_until:
+        timeout_s = URGENT_ACK_TIMEOUT_S if is_urgent else ACK_TIMEOUT_S
+        give_up_at = clock.read_monotonic() + timeout_s
+        while self._session.is_active and clock.read_monotonic() < give_up_at:
             worker = self._core.workers_by_id.get(worker_id)
             if worker is None or worker.acked_number >= worker.seen_number:
                 return
-            await tasks.sleep(self._reactor, ACK_POLL_S)
+            await tasks.sleep(self._reactor, ACK_CHECK_PERIOD_S)
 
     async def _pause(self, worker_id):
         """Let ends gather where nothing urgent runs."""
-        await tasks.sleep(self._reactor, LOOK_GAP_S)
+        await tasks.sleep(self._reactor, POLL_GAP_S)
         if self._core.is_urgent_at(worker_id):
             return
-        resting = self._resting_by_worker[worker_id] = defer.Deferred()
+        waiting = self._pause_by_worker[worker_id] = defer.Deferred()
         await tasks.wait_timed(
-            self._reactor, resting, PATIENT_GAP_S, lambda: self.end_pause(worker_id)
+            self._reactor,
+            waiting,
+            NON_URGENT_POLL_GAP_S,
+            lambda: self.end_pause(worker_id),
         )
 
     def end_pause(self, worker_id):
         """Look at a worker again: something urgent starts there, or it is time."""
-        resting = self._resting_by_worker.pop(worker_id, None)
-        if resting is not None:
-            resting.callback(None)
+        waiting = self._pause_by_worker.pop(worker_id, None)
+        if waiting is not None:
+            waiting.callback(None)
 
 
 def log_end(worker_id, end, is_new):
--- a/thornport/cell/owner/looks_test.py
+++ b/thornport/cell/owner/polling_test.py
@@ -6,7 +6,7 @@
 from twisted.internet import defer, task
 
 from thornport.cell.decisions import core, messages
-from thornport.cell.owner import looks
+from thornport.cell.owner import polling
 from thornport.jobs import queue, spec
 from thornport.kernel import clock, metrics
 
@@ -52,12 +52,12 @@
             is_active=True,
             pump=lambda: None,
         )
-        looking = looks.Looks(task.Clock(), session)
-        looking.look_at_new()
+        worker_polling = polling.Polling(task.Clock(), session)
+        worker_polling.poll_new_workers()
         ((_, answer),) = workers.open
         # Rows that are no list can't be taken.
         answer.callback(messages.HoldAnswer(1, None, None))
-        looking.look_at_new()
+        worker_polling.poll_new_workers()
         self.assertEqual(len(workers.open), 2)
 
 
--- a/thornport/cell/owner/succession.py
+++ b/thornport/cell/owner/succession.py
@@ -12,16 +12,16 @@
 
 # A VM with this many times the processor is worth a takeover, which costs some tenths
 # of a second; a slightly larger one is not.
-LARGER_TIMES = 1.5
+LARGER_FACTOR = 1.5
 # From an offer to its answer, also by a busy process.
-ANSWER_S = 0.05
+ANSWER_TIMEOUT_S = 0.05
 # From a yes to the loss of our key: two calls to a slow store.
-CLAIM_S = 0.6
+CLAIM_TIMEOUT_S = 0.6
 # Two greetings: by then the process has told anew how it is.
-PASS_OVER_S = 1.0
+SKIP_PERIOD_S = 1.0
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class Requirements(msgspec.Struct, frozen=True):
     """What a successor must have.
 
     Attributes:
@@ -33,7 +33,7 @@
     """
 
     own_address: str
-    least_cores: float = 0.0
+    cores_above: float = 0.0
     is_series: bool = False
     is_restarted: bool = False
 
@@ -55,13 +55,13 @@
 class Succession:
     """The offers of one process."""
 
-    __slots__ = ("_open", "_passed_over_until")
+    __slots__ = ("_open", "_skipped_until")
 
     def __init__(self):
         self._open = None
-        self._passed_over_until = {}
+        self._skipped_until = {}
 
-    def choose(self, callers, wanted, now):
+    def choose(self, callers, requirements, now):
         """Choose the process to be asked next.
 
         Args:
@@ -77,12 +77,12 @@
             caller
             for caller in callers.list_staying(now)
             if caller.has_store
-            and caller.address != wanted.own_address
-            and caller.cores > wanted.least_cores
-            and now >= self._passed_over_until.get(caller.address, -math.inf)
+            and caller.address != requirements.own_address
+            and caller.cores > requirements.cores_above
+            and now >= self._skipped_until.get(caller.address, -math.inf)
         ]
         most_cores = max((caller.cores for caller in fit), default=0.0)
-        if wanted.is_restarted:
+        if requirements.is_restarted:
             # Most that come back are small where most VMs are: a large one is waited
             # for.
             fit = [
@@ -92,7 +92,7 @@
             ]
         return max(
             fit,
-            key=lambda caller: rank(caller, most_cores, wanted.is_series, now),
+            key=lambda caller: rank(caller, most_cores, requirements.is_series, now),
             default=None,
         )
 
@@ -104,8 +104,8 @@
           token: An int, the revision of the key that is offered.
           now: A float.
         """
-        self._open = OpenOffer(address, token, now + ANSWER_S)
-        self._passed_over_until[address] = now + PASS_OVER_S
+        self._open = OpenOffer(address, token, now + ANSWER_TIMEOUT_S)
+        self._skipped_until[address] = now + SKIP_PERIOD_S
 
     def take_answer(self, address, token, is_taken, now):
         """Take the answer of a process.
@@ -122,7 +122,7 @@
         if not is_asked or self._open.token != token:
             return False
         if is_taken:
-            self._open.until = now + CLAIM_S
+            self._open.until = now + CLAIM_TIMEOUT_S
             return False
         self._open = None
         return True
@@ -142,7 +142,7 @@
     Returns:
       A bool.
     """
-    return caller.cores * LARGER_TIMES >= most_cores
+    return caller.cores * LARGER_FACTOR >= most_cores
 
 
 def rank(caller, most_cores, is_series, now):
--- a/thornport/cell/owner/succession_test.py
+++ b/thornport/cell/owner/succession_test.py
@@ -22,10 +22,10 @@
         """Let a process greet; its address is its name."""
         self.callers.greet(name, name, has_store, cores, self.now, stops, up_s)
 
-    def choose(self, least_cores=0.0, is_series=False):
+    def choose(self, cores_above=0.0, is_series=False):
         """The name of the process that is asked next, or None."""
-        wanted = succession.Wanted(OWN, least_cores, is_series)
-        chosen = self.succession.choose(self.callers, wanted, self.now)
+        requirements = succession.Requirements(OWN, cores_above, is_series)
+        chosen = self.succession.choose(self.callers, requirements, self.now)
         return chosen and chosen.name
 
     def ask(self):
@@ -45,11 +45,11 @@
         self.assertEqual(self.choose(), "large")
 
     def test_larger_vm_than_the_owner_is_found(self):
-        least_cores = 0.5 * succession.LARGER_TIMES
+        cores_above = 0.5 * succession.LARGER_FACTOR
         self.greet("slightly", 0.6)
-        self.assertIsNone(self.choose(least_cores))
+        self.assertIsNone(self.choose(cores_above))
         self.greet("large", 2.0)
-        self.assertEqual(self.choose(least_cores), "large")
+        self.assertEqual(self.choose(cores_above), "large")
 
     def test_process_that_the_store_does_not_answer_is_left_out(self):
         self.greet("large", 2.0, has_store=False)
@@ -82,10 +82,10 @@
         # a series of restarts were small, and one of them got the cell for 19 s.
         self.greet("large", 2.0)
         self.greet("small", 0.5, up_s=1.0)
-        wanted = succession.Wanted(OWN, is_series=True, is_restarted=True)
-        self.assertIsNone(self.succession.choose(self.callers, wanted, self.now))
+        requirements = succession.Requirements(OWN, is_series=True, is_restarted=True)
+        self.assertIsNone(self.succession.choose(self.callers, requirements, self.now))
         self.greet("large", 2.0, up_s=1.0)
-        chosen = self.succession.choose(self.callers, wanted, self.now)
+        chosen = self.succession.choose(self.callers, requirements, self.now)
         self.assertEqual(chosen.name, "large")
 
     def test_in_a_series_the_one_that_started_last_is_first_among_equals(self):
@@ -117,7 +117,7 @@
         self.assertIsNone(self.ask())
 
     def test_process_without_an_answer_is_passed_over(self):
-        self.now += succession.ANSWER_S
+        self.now += succession.ANSWER_TIMEOUT_S
         self.assertEqual(self.ask(), "second")
 
     def test_after_a_no_the_next_is_asked_at_once(self):
@@ -126,7 +126,7 @@
 
     def test_who_says_yes_has_the_time_to_claim(self):
         self.assertFalse(self.take_answer(is_taken=True))
-        self.now += succession.CLAIM_S - 0.01
+        self.now += succession.CLAIM_TIMEOUT_S - 0.01
         self.assertIsNone(self.ask())
         self.now += 0.02
         self.assertEqual(self.ask(), "second")
@@ -136,7 +136,7 @@
         self.ask()
         self.take_answer(is_taken=False, name="second")
         self.assertIsNone(self.ask())
-        self.now += succession.PASS_OVER_S
+        self.now += succession.SKIP_PERIOD_S
         self.greet("first", 2.0)
         self.assertEqual(self.ask(), "first")
 
--- a/thornport/cell/peers/receiving.py
+++ b/thornport/cell/peers/receiving.py
@@ -106,7 +106,7 @@
 def take_kept(message: peering.Kept, daemon, address):
     """A job, or its cancel, is kept."""
     if daemon.session is not None:
-        daemon.session.take_kept_by_peer(message.job_id, message.is_cancel)
+        daemon.session.take_persisted_by_peer(message.job_id, message.is_cancel)
 
 
 # From one owner to the next.
--- a/thornport/cell/peers/telling.py
+++ b/thornport/cell/peers/telling.py
@@ -81,7 +81,7 @@
 
     def _tell_once(self, job_id, is_cancel):
         if self._daemon.get_core() is not None:
-            self._daemon.session.take_kept_by_peer(job_id, is_cancel)
+            self._daemon.session.take_persisted_by_peer(job_id, is_cancel)
         else:
             self._send_to_owner(peering.Kept(job_id, is_cancel))
 
