--- a/thornport/cell/decisions/advising.py
+++ b/thornport/cell/decisions/advising.py
@@ -1,16 +1,16 @@
-"""Which of our processes calls for which advice.
-
-The advice service works on one call at a time for each caller, so a call of
-half a second holds up all later calls of the same caller. Calls that take
-long go to some of the processes, the short ones to the others. Where long calls wait
-for which there is room, the others help while more than half of them are idle: after a
-loss of power all steps ask at once, and short calls leave most of those processes idle.
-A call is given to a process only when it can make it soon: what waits here goes to
-whoever is free first, and the foremost step first.
-
-A process whose calls fail is always free first, so it would draw most calls. It is left
-out for a while that doubles with each further failure, unless most others are too; then
-it gets what the others have no time for.
+"""Assigns calls for advice to the processes that make them.
+
+The advice service handles one call at a time per caller, so a call of half a second
+blocks all later calls of the same caller. Half of the processes therefore make the long
+calls and the others the short ones. While long calls wait for steps that have room,
+processes of the short half help as long as more than half of them stay idle: after a
+loss of power all steps ask at once, and short calls leave most of that half idle.
+A process is assigned a call only when it can make it soon. Other calls wait in a queue,
+from which the next free process gets the first step by rank.
+
+A process whose calls fail is always free first and would attract most calls. It is
+excluded for a backoff that doubles with each further failure, unless most processes are
+excluded; then the excluded ones get the calls that the others have no time for.
 """
 
 import math
@@ -19,24 +19,26 @@
 
 from thornport.kernel import clock
 
-MAX_ASKED_WORKERS = 100  # named in one call at most, by the users' interface
-LONG_CALL_S = 0.15  # calls that take longer are long ones, for some processes only
-# A process gets its next call so long before it is free: a round and the way there.
+MAX_ASKED_WORKERS = 100  # limit of the advice interface for one call
+LONG_CALL_S = 0.15  # longer calls go to the processes for long calls
+# How long before it is free a process is assigned its next call: covers a scheduling
+# pass and the network.
 QUEUE_S = 0.02
-SILENCE_S = 1.6  # three greetings missed: the process gets no calls
-# Processes that stay idle where others help with long calls: one alone would often be
-# at a usual call when an urgent one comes.
+SILENCE_S = 1.6  # three missed greetings; after that a process gets no calls
+# Processes for short calls that stay idle while others help with long calls. A single
+# one would often be busy with another short call when an urgent one arrives.
 LEAST_IDLE = 2
 FAILURE_BACKOFF_S = 0.4  # after a first failed call
-# After an outage of the service, the process that is back first is alone for as long.
+# After an outage of the advice service, the first process to recover makes all calls
+# for up to this long.
 MAX_BACKOFF_S = 3.0
-MAX_DOUBLINGS = 8  # of the backoff; it has reached its bound by then
-ANSWER_SLACK_S = 0.5  # beyond the time that a call takes, for the way and a busy node
-# Stops and starts go on for this long after the last sign of one: VMs are told to stop
-# half a second after one another, and a process is there again within some seconds.
+MAX_DOUBLINGS = 8  # the backoff has reached its maximum by then
+ANSWER_SLACK_S = 0.5  # beyond the duration of a call, for the network and a busy VM
+# A series of stops or starts counts as over this long after the last one: VMs are
+# stopped half a second apart, and a process restarts within some seconds.
 CHANGE_WINDOW_S = 5.0
-# Lists of the processes are made anew so often at the most, and at once when a greeting
-# says something new; who falls silent is noticed after SILENCE_S anyway.
+# The lists of processes are rebuilt at most this often, or at once when a greeting
+# brings a change. A silent process is noticed only after SILENCE_S anyway.
 LISTS_MAX_AGE_S = 0.05
 
 
@@ -44,17 +46,17 @@
     """A process that can call for advice.
 
     Attributes:
-      address: A str, where it takes messages.
-      heard_at: A float, when it last greeted.
-      has_store: Whether the store answers it.
-      cores: A float, how much processor its VM has.
-      is_stopping: Whether it was told to stop.
-      started_at: A float, when it was started; minus infinity if it did not say.
-      hall: A str, its data hall; empty if it did not say.
-      busy_until: A float, when it has made all calls given to it.
-      open_count: An int, calls given to it that have no answer yet.
-      failures: An int, calls that failed since one was answered.
-      left_out_until: A float; before, others get calls, if there are any.
+      address: A str, where it receives messages.
+      heard_at: A float, time of its last greeting.
+      has_store: Whether it reaches the store.
+      cores: A float, the processor cores of its VM.
+      is_stopping: Whether it is shutting down.
+      started_at: A float, its start time; minus infinity if not reported.
+      hall: A str, its data hall; empty if not reported.
+      busy_until: A float, when it will have made all calls assigned to it.
+      open_count: An int, calls assigned to it that have no answer yet.
+      failures: An int, calls that failed since the last answered one.
+      left_out_until: A float, until when other processes are preferred.
     """
 
     name: str
@@ -71,12 +73,12 @@
     left_out_until: float = -math.inf
 
 
-class GivenCall(msgspec.Struct, frozen=True):
-    """A call that a process is given.
+class AssignedCall(msgspec.Struct, frozen=True):
+    """A call that is assigned to a process.
 
     Attributes:
       caller: The Caller.
-      deadline: A float, when its answer is given up.
+      deadline: A float, when to stop waiting for the answer.
     """
 
     caller: Caller
@@ -84,13 +86,14 @@
 
 
 class PeerLists(msgspec.Struct, frozen=True):
-    """What each process is told of the others.
+    """The lists of processes that are sent to each process.
 
     Attributes:
-      version: An int that rises with each change of the rest.
-      with_store, others: Addresses of those that the store answers, and does not.
-      largest_cores: A float, the most processor that a VM among them has.
-      stopping: Addresses of those that were told to stop.
+      version: An int that increases with each change of the other fields.
+      with_store, others: Addresses of the processes that reach the store, and of those
+        that do not.
+      largest_cores: A float, the most cores of a VM among them.
+      stopping: Addresses of the processes that are shutting down.
     """
 
     version: int
@@ -101,7 +104,7 @@
 
 
 class Callers:
-    """The processes that can call, by name."""
+    """The processes that can call for advice, by name."""
 
     def __init__(self):
         self._by_name = {}
@@ -120,18 +123,18 @@
         up_s=math.inf,
         hall="",
     ):
-        """Take a greeting.
+        """Record a greeting of a process.
 
         Args:
           name, address: A str each.
-          has_store: A bool, whether the store answers the process.
-          cores: A float, how much processor its VM has.
+          has_store: A bool, whether the process reaches the store.
+          cores: A float, the processor cores of its VM.
           now: A float.
-          is_stopping: A bool, whether the process was told to stop.
-          up_s: A float, how long ago it was started.
-          hall: A str, its data hall; empty if it did not say.
+          is_stopping: A bool, whether the process is shutting down.
+          up_s: A float, seconds since its start.
+          hall: A str, its data hall; empty if not reported.
         Returns:
-          A bool, whether this is the first word that it stops.
+          A bool, whether this greeting is the first to report that it shuts down.
         """
         caller = self._by_name.get(name)
         is_new = caller is None or caller.address != address
@@ -153,7 +156,7 @@
         return is_news
 
     def forget(self, name):
-        """Give no calls to a process until it greets again.
+        """Assign no calls to a process until it greets again.
 
         Args:
           name: A str.
@@ -162,15 +165,16 @@
         self._lists_until = -math.inf
 
     def list_peers(self, now):
-        """List the processes for one another.
+        """Return the lists of processes that each of them receives.
 
-        Each greets twice a second and is told of all others, so what lists for each
-        greeting cost the owner would grow with the square of the processes.
+        Each process greets twice a second and receives the lists in reply. Building
+        them for each greeting would cost the owner time quadratic in the number of
+        processes, so they are cached.
 
         Args:
           now: A float.
         Returns:
-          A PeerLists, as of LISTS_S ago at the most.
+          A PeerLists, at most LISTS_MAX_AGE_S old.
         """
         if now < self._lists_until:
             return self._lists
@@ -188,16 +192,16 @@
         return self._lists
 
     def find_largest_cores(self, now):
-        """The most processor that a VM of a process that could decide has, a float."""
+        """Return the most cores of a VM whose process could become owner, a float."""
         cores = (c.cores for c in self.list_staying(now) if c.has_store)
         return max(cores, default=0.0)
 
     def has_recent_stop(self, now):
-        """Whether a process was told to stop lately, so that more may be."""
+        """Whether a process has recently begun to stop, so that more may follow."""
         return now - self._stop_heard_at < CHANGE_WINDOW_S
 
     def is_changing(self, now):
-        """Whether processes are being stopped or started, a bool."""
+        """Whether processes have recently been stopping or starting, a bool."""
         started_at = max(
             (caller.started_at for caller in self._list_alive(now)), default=-math.inf
         )
@@ -207,7 +211,7 @@
         return [c for c in self._by_name.values() if now - c.heard_at < SILENCE_S]
 
     def list_staying(self, now):
-        """List the processes that are well and were not told to stop.
+        """List the live processes that are not shutting down.
 
         Args:
           now: A float.
@@ -217,16 +221,16 @@
         return [caller for caller in self._list_alive(now) if not caller.is_stopping]
 
     def list_stopping(self, now):
-        """The addresses of processes that were told to stop, a list of str."""
+        """List the addresses of live processes that are shutting down, strs."""
         return [c.address for c in self._list_alive(now) if c.is_stopping]
 
     def list_addresses(self, has_store, now):
-        """The addresses of processes that are well and were not told to stop.
+        """List the addresses of live processes that are not shutting down.
 
-        Those that stop are listed while there is no other: they relay until they end.
+        If all are shutting down, they are listed: they relay until they exit.
 
         Args:
-          has_store: A bool, of those that the store answers or of the others.
+          has_store: A bool, whether to list those that reach the store or the others.
           now: A float.
         Returns:
           A list of str.
@@ -236,17 +240,17 @@
         return [caller.address for caller in staying or alike]
 
     def choose(self, cost_s, now, may_help=True):
-        """Choose the process for a call and give it the call.
+        """Choose a process for a call and assign the call to it.
 
         Args:
-          cost_s: A float, how long the call takes.
+          cost_s: A float, the duration of the call.
           now: A float.
           may_help: Whether a process for short calls may make a long one.
         Returns:
-          A GivenCall, or None when no process can make it soon.
+          An AssignedCall, or None when no process can make it soon.
         """
-        # In a series of stops nobody who stays may be left for some seconds; a process
-        # that stops works on until the end of its grace.
+        # During a series of stops all processes may be shutting down for some seconds.
+        # They go on working until their grace period ends.
         fit = self.list_staying(now) or self._list_alive(now)
         fit = sorted(fit, key=lambda caller: caller.name)
         trusted = [caller for caller in fit if caller.left_out_until <= now]
@@ -255,20 +259,21 @@
         if caller is None and is_long and may_help:
             caller = find_long_call_helper(trusted[count_long(trusted) :], now)
         if caller is None and 2 * len(trusted) < len(fit):
-            # Calls of most fail: it may be the service, or the way to it.
+            # The calls of most processes fail, so the cause may be the advice service
+            # or the network.
             left_out = [caller for caller in fit if caller.left_out_until > now]
             caller = find_free(choose_group(left_out, is_long), now)
         if caller is None:
             return None
         caller.busy_until = max(caller.busy_until, now) + cost_s
         caller.open_count += 1
-        return GivenCall(caller, caller.busy_until + ANSWER_SLACK_S)
+        return AssignedCall(caller, caller.busy_until + ANSWER_SLACK_S)
 
     def end_call(self, name, now, is_answered=True):
-        """Take that a call has its answer, has failed, or is given up.
+        """Record that a call was answered, failed or timed out.
 
         Args:
-          name: A str, of the process that made it.
+          name: A str, the process that made it.
           now: A float.
           is_answered: A bool.
         """
@@ -280,7 +285,7 @@
             caller.left_out_until = -math.inf
         else:
             caller.failures += 1
-            # Bounded before the power: no float holds one that is very large.
+            # The exponent is bounded because a large power overflows a float.
             doublings = min(caller.failures - 1, MAX_DOUBLINGS)
             backoff_s = min(MAX_BACKOFF_S, FAILURE_BACKOFF_S * 2**doublings)
             caller.left_out_until = now + backoff_s
@@ -291,7 +296,7 @@
             caller.busy_until = min(caller.busy_until, now)
 
     def suspend_caller(self, name, now):
-        """Give no calls for a while to a process whose answer did not come.
+        """Exclude a process for SILENCE_S after a call of it timed out.
 
         Args:
           name: A str.
@@ -304,18 +309,18 @@
 
 
 def count_long(alike):
-    """Count the processes that make long calls, of a list of Caller."""
+    """Count how many of a list of Caller make long calls."""
     return (len(alike) + 1) // 2
 
 
 def choose_group(alike, is_long):
-    """Choose the processes that make calls of a kind.
+    """Select the processes that make long calls, or short ones.
 
     Args:
       alike: A list of Caller.
-      is_long: Whether for long calls, or for short ones.
+      is_long: Whether to select those for long calls.
     Returns:
-      A list of them; of a single one, the same for both.
+      A list of Caller; a single process makes both kinds.
     """
     count = count_long(alike)
     return alike[:count] if is_long else alike[count:] or alike
@@ -328,7 +333,7 @@
       group: A list of Caller.
       now: A float.
     Returns:
-      A Caller, or None when none of them can make a call soon.
+      A Caller, or None when none is free within QUEUE_S.
     """
     caller = min(group, key=lambda caller: caller.busy_until, default=None)
     if caller is None or caller.busy_until - now > QUEUE_S:
@@ -337,9 +342,9 @@
 
 
 def find_long_call_helper(group, now):
-    """Find a process of those for short calls that may make a long one.
+    """Find a process for short calls that may make a long one.
 
-    Enough of them are idle besides it, so that calls of urgent steps wait for none.
+    Enough others must be idle, so that calls of urgent steps never wait for long ones.
 
     Args:
       group: A list of Caller.
@@ -353,11 +358,11 @@
 
 
 def compute_cost_s(advice, workers):
-    """Compute how long a call for advice takes.
+    """Compute the duration of a call for advice.
 
     Args:
       advice: A queue.Advice.
-      workers: A list of the workers that it is about.
+      workers: A list of the workers that it names.
     Returns:
       A float, seconds.
     """
--- a/thornport/cell/decisions/asking.py
+++ b/thornport/cell/decisions/asking.py
@@ -1,12 +1,12 @@
-"""Which call for advice is made next: pure.
+"""Selects the next call for advice. Does no I/O.
 
-A call takes up to seconds and each process makes one at a time, so in a busy cell more
-calls are wanted than can be made. In the order of the steps, the calls of wide steps
-that can't start yet would cause head-of-line blocking. So calls are ordered by need,
-and queues share the processes fairly among calls of equal need.
+A call takes up to seconds and each process makes one at a time, so a busy cell wants
+more calls than its processes can make. In the order of the steps, the calls of wide
+steps that can't start yet would cause head-of-line blocking. Calls are therefore
+ordered by need, and queues share the processes fairly among calls of equal need.
 
 In a full service all steps lack room, and a step of lower priority that gets its advice
-first would take the room that a gang waits for. There calls are made in the order of
+first would take the room that a gang waits for. There, calls are made in the order of
 the steps.
 """
 
@@ -19,7 +19,7 @@
 
 
 class Need(enum.IntEnum):
-    """How urgently a call is needed; the lowest is made first.
+    """How urgently a call is needed; the lowest value is made first.
 
     NOW: for an overdue step, an urgent step, or a start whose record is durable.
     START: for a step that can start, in a service that is not full.
@@ -40,8 +40,8 @@
       queue: The step's queue.Queue, with advice.
       workers: A list of the model.Worker to be asked about.
       need: A Need.
-      rank: A tuple, the step's rank in a round; the lowest goes first.
-      is_long: Whether the call takes long, so that only some processes make it.
+      rank: A tuple, the step's rank in a scheduling pass; the lowest goes first.
+      is_long: Whether only the processes for long calls make it.
     """
 
     step: model.StepState
@@ -55,8 +55,8 @@
 class WantedCalls:
     """The calls that wait for a process, at most one for each step.
 
-    A round tries only some of the steps, so a wanted call stays until its step is tried
-    again: no process is idle while calls are wanted.
+    A scheduling pass tries only some of the steps. A wanted call stays until its step
+    is tried again, so that no process is idle while calls are wanted.
     """
 
     __slots__ = ("_by_step", "_urgent_by_step")
@@ -66,34 +66,34 @@
         self._urgent_by_step = {}
 
     def add(self, call):
-        """Add a WantedCall; it replaces any earlier one of its step."""
+        """Add a WantedCall, replacing any earlier one of its step."""
         is_urgent = call.queue.priority == 0
         calls = self._urgent_by_step if is_urgent else self._by_step
         calls[call.step.key] = call
 
     def discard(self, key):
-        """Drop the call of a step, by its messages.StepKey, if there is one."""
+        """Remove the call of a step, by its messages.StepKey, if there is one."""
         self._by_step.pop(key, None)
         self._urgent_by_step.pop(key, None)
 
     def has_step(self, key):
-        """Whether a call is wanted for a step, by its messages.StepKey."""
+        """Whether a step, by its messages.StepKey, has a wanted call."""
         return key in self._by_step or key in self._urgent_by_step
 
     def list_calls(self, only_urgent):
-        """List the calls, a list of WantedCall.
+        """List the WantedCalls.
 
         Args:
-          only_urgent: Whether to leave out queues that are not of the first priority.
+          only_urgent: Whether to list only queues of the first priority.
         """
         urgent = list(self._urgent_by_step.values())
         return urgent if only_urgent else urgent + list(self._by_step.values())
 
 
 class FairShares:
-    """Shares the time of the processes among queues: start-time fair queueing.
+    """Shares the time of the processes among queues by start-time fair queueing.
 
-    A queue that was idle earns no credit for that time.
+    A queue earns no credit while it is idle.
     """
 
     __slots__ = ("_finish_by_queue", "_virtual_s")
@@ -103,12 +103,12 @@
         self._virtual_s = 0.0
 
     def choose(self, calls):
-        """Choose the call that is made next.
+        """Choose the call to make next.
 
         Args:
           calls: A list of WantedCall; not empty.
         Returns:
-          One of them.
+          A WantedCall.
         """
         return min(calls, key=self._rank)
 
@@ -121,8 +121,8 @@
         """Charge a queue for a call that is made.
 
         Args:
-          name: A str, the queue's.
-          cost_s: A float, how long the call takes.
+          name: A str, the name of the queue.
+          cost_s: A float, the duration of the call.
         """
         self._virtual_s = start = self._find_start(name)
         self._finish_by_queue[name] = start + cost_s
@@ -132,7 +132,7 @@
 
 
 def find_need(step_queue, is_overdue, is_full):
-    """Find the need of a call for a step for which there is room.
+    """Determine the need of a call for a step that has room.
 
     Args:
       step_queue: The queue.Queue of the step.
--- a/thornport/cell/decisions/explaining.py
+++ b/thornport/cell/decisions/explaining.py
@@ -1,6 +1,6 @@
-"""What an owner knows of a job, and why a step of it waits.
+"""Reports the state of jobs and workspaces, and why a step waits.
 
-For people who ask why their job does not run: nothing here changes anything.
+It answers people who ask why their job does not run, and makes no decisions.
 """
 
 import collections
@@ -42,7 +42,8 @@
     """A step at one of its job's times.
 
     Attributes:
-      tasks, done, live: Ints; a live task is ordered, running or being stopped.
+      tasks, done, live: Ints; a live task is commanded to start, running or being
+        stopped.
       failures: An int, failed runs.
       crash_points: An int, the most evidence that a task of it crashes its workers.
       waits_for: A Waiting.
@@ -62,8 +63,8 @@
     """A job.
 
     Attributes:
-      state: The record.JobState that callers are shown.
-      cause: The record.FailureCause of a job that has failed; None else.
+      state: The record.JobState that callers see.
+      cause: The record.FailureCause of a job that has failed; else None.
       steps: StepViews; none of a job that is over.
     """
 
@@ -77,16 +78,16 @@
 
 
 class LateStep(msgspec.Struct, frozen=True):
-    """A step that still waits when its job should have ended.
+    """A step that still waits past the objective of its job.
 
     Attributes:
       key: Its messages.StepKey.
-      waited_ms: An int, since the owner learned of its job.
+      waited_ms: An int, time since the owner learned of its job.
       waits_for: A Waiting.
       waiting: An int, its tasks without a run.
       suited: An int, workers that could hold a task if nothing else ran there.
-      asked, good: Ints, workers that advice was asked about, and that may run it.
-      ticketed: An int, workers for which it has a ticket that holds.
+      asked, good: Ints, workers that calls for advice named, and those that may run it.
+      ticketed: An int, workers for which it has a valid ticket.
     """
 
     key: messages.StepKey
@@ -103,11 +104,11 @@
     """A workspace.
 
     Attributes:
-      weight: A float, the jobs a second that are its share; 0 if it has none.
-      limit: Demand, None where nothing is limited.
-      used: Demand of what counts against the limit.
+      weight: A float, its share in jobs a second; 0 if it has none.
+      limit: Demand; None without a limit.
+      used: Demand that counts against the limit.
       waiting: An int, its jobs of which no task has begun.
-      at_limit: An int, its steps that wait for the limit.
+      at_limit: An int, its steps that wait because of the limit.
     """
 
     name: str
@@ -125,7 +126,7 @@
         """List the workspaces that have a share, a limit or jobs.
 
         Returns:
-          A list of WorkspaceView by name.
+          A list of WorkspaceView, ordered by name.
         """
         waiting = collections.Counter()
         at_limit = collections.Counter()
@@ -154,7 +155,7 @@
         Args:
           now: A float.
         Returns:
-          A list of LateStep; a step that waits for earlier ones is not in it.
+          A list of LateStep, without steps that wait for earlier ones.
         """
         late = []
         for job in self._unended_by_id.values():
@@ -188,15 +189,15 @@
         )
 
     def take_stalls(self, now):
-        """Take steps that stand still beside room, each once for its reasons.
+        """Take the stalled steps whose reasons are new or have changed.
 
         Args:
           now: A float.
         Returns:
-          A list of stalls.Stall; what it has no place for comes the next times.
+          A list of stalls.Stall; further ones follow in the next calls.
         """
         taken = []
-        looked_at = 0
+        checked = 0
         for job in self._unended_by_id.values():
             for step in job.steps_by_key.values():
                 if not self._is_stalled(job, step, now):
@@ -209,13 +210,13 @@
                 if stall.reasons != step.told_stall:
                     step.told_stall = stall.reasons
                     taken.append(stall)
-                looked_at += 1
-                if looked_at == stalls.MAX_REPORTED:
+                checked += 1
+                if checked == stalls.MAX_REPORTED:
                     return taken
         return taken
 
     def _is_stalled(self, job, step, now):
-        """Whether a step has stood still for long though its service has room."""
+        """Whether a step is stalled although its service has room."""
         if (
             not step.waiting
             or step.idle_since is None
@@ -240,7 +241,7 @@
         )
 
     def _list_job_blockers(self, job, step, now):
-        """List the stalls.JobHolds of a step."""
+        """Yield the stalls.JobBlockers of a step."""
         if not self.usage.count_startable(step, job.record.workspace):
             yield stalls.JobBlocker.LIMIT
         if (
@@ -256,9 +257,9 @@
             yield stalls.JobBlocker.ADVICE_FAILED
 
     def _count_worker_blockers(self, step, queue, now):
-        """Count the workers that may run a step by what keeps it from them.
+        """Count the workers that may run a step, by what blocks a start there.
 
-        Of those that advice was asked about, the others may not.
+        Workers that advice was asked about and that are not good may not run it.
         """
         needs_ticket = queue.advice is not None
         suited = self._list_suited(step, queue)[: ticketing.MAX_SCANNED_WORKERS]
@@ -274,13 +275,13 @@
         )
 
     def explain_job(self, job_id, now):
-        """Say how far a job has come and what it waits for.
+        """Describe the progress of a job and what it waits for.
 
         Args:
           job_id: A str.
           now: A float.
         Returns:
-          A JobView, or None when the job is not known.
+          A JobView, or None for an unknown job.
         """
         job = self.jobs_by_id.get(job_id)
         if job is None:
@@ -289,10 +290,10 @@
         return self._view_job(job, tuple(steps))
 
     def list_jobs(self, state=None):
-        """List the jobs that are known.
+        """List the known jobs.
 
         Args:
-          state: A record.JobState that they are in; None for any.
+          state: A record.JobState to select; None for any.
         Returns:
           A list of JobView without steps, in the order of acceptance.
         """
@@ -303,15 +304,15 @@
         ]
 
     def _view_job(self, job, steps=()):
-        kept = job.record
+        job_record = job.record
         return JobView(
             job.job_id,
-            kept.queue.name,
+            job_record.queue.name,
             job.shown_state,
-            kept.accepted_at_ms,
+            job_record.accepted_at_ms,
             steps,
             job.cause if job.shown_state is record.JobState.FAILED else None,
-            kept.workspace,
+            job_record.workspace,
         )
 
     def _view_step(self, job, step, now):
--- a/thornport/cell/decisions/polls.py
+++ b/thornport/cell/decisions/polls.py
@@ -1,7 +1,7 @@
-"""Looks at workers: each renews the leases there, and tells what runs and ended.
+"""Polls workers: a poll renews a worker's leases and reports its runs and their ends.
 
-What they tell also judges a worker: one that is silent, that left, or on which
-all tasks stand still gets no starts for a while.
+The answers also show a worker's health: one that is silent, that has left, or on which
+no task makes progress gets no starts for a while.
 """
 
 from thornport.cell.decisions import (
@@ -14,40 +14,40 @@
 )
 from thornport.jobs import spec as specs
 
-# A look that waits: one whose answer is lost hides ends for this long and a
-# little, and urgent tasks are late after some tenths of a second.
+# How long a poll waits at the worker for an end. A lost answer delays the report of
+# ends by slightly more, and urgent tasks are late after some tenths of a second.
 POLL_WAIT_MS = 700
-IDLE_WAIT_MS = 2000  # where nothing runs there is little to hide; looks are priced
-# Where urgent tasks run while answers are being lost: one that is lost hides their
-# ends for 0.45 s instead of 1 s, for 7 looks a second and worker instead of 3.
+IDLE_WAIT_MS = 2000  # a lost answer delays little where nothing runs; polls are priced
+# Wait at workers with urgent tasks while answers are being lost: a lost answer delays
+# their ends by 0.45 s instead of 1 s, at 7 polls a second per worker instead of 3.
 LOSSY_WAIT_MS = 150
-LOSSY_S = 5.0  # from a lost answer on; the users' workers lose some for about as long
-# A worker that answers again so soon after a look that failed was not cut off: the
-# answer alone was lost.
+LOSSY_S = 5.0  # after a lost answer; the users' workers lose answers for about as long
+# A worker that answers again within this time of a failed poll was not cut off: only
+# the answer was lost.
 LOST_ANSWER_S = 1.6
-# A connection that the worker does not know any more is reset within this time.
+# A worker resets a connection that it no longer knows within this time.
 CONNECTION_RESET_S = 0.1
-# An entry goes after three heartbeats of silence, 4.5 s; well below that, it went
-# because the worker ended.
+# The entry of a silent worker is removed after three missed heartbeats, 4.5 s. An entry
+# that is gone well before that was removed because the worker ended.
 LEAVE_WINDOW_S = 2.5
-# Tasks whose percent has not changed for so long stand still: the longest task of
-# the users changes every 0.2 s, and a look waits for 0.7 s at most.
+# Tasks whose percent has not changed for this long are stalled: the longest task of the
+# users changes every 0.2 s, and a poll waits for 0.7 s at most.
 STALLED_S = 1.5
-MAX_STALLS = 8  # counted; two are enough for the longest time
-MAX_STALL_SUSPECT_S = 6.0  # a worker on which one task after the other stood still
+MAX_STALLS = 8  # bound of the count; two reach the longest suspicion
+MAX_STALL_SUSPECT_S = 6.0  # for a worker on which tasks stall repeatedly
 
 
 class Polls(incarnations.Incarnations):
-    """Makes looks at workers and takes the answers."""
+    """Makes polls of workers and processes the answers."""
 
     def make_poll(self, worker_id, now):
-        """Make the next look at a worker.
+        """Make the next poll of a worker.
 
         Args:
           worker_id: A str.
           now: A float.
         Returns:
-          A messages.HoldRequest, or None when the worker needs none.
+          A messages.HoldRequest, or None when the worker is not to be polled.
         """
         worker = self.workers_by_id.get(worker_id)
         if worker is None or not worker.entry.address:
@@ -60,7 +60,7 @@
             return messages.HoldRequest(worker_id, address, token, 0, 0, 0)
         deadline_ms = leases.extend(worker, now)
         if worker.silent_since is not None or worker.doubted_at is not None:
-            # Another life may answer by now: that one has ends of its own to tell.
+            # A new incarnation may answer, which has ends of its own to report.
             return messages.HoldRequest(worker_id, address, token, deadline_ms, 0, 0)
         is_acked = worker.acked_number >= worker.seen_number
         wait_ms = self._choose_wait_ms(worker, now)
@@ -74,7 +74,7 @@
         )
 
     def _choose_wait_ms(self, worker, now):
-        """Choose how long a look may wait for an end, an int."""
+        """Choose how long a poll waits for an end, an int."""
         if not worker.runs_by_key:
             return IDLE_WAIT_MS
         if now < self._lossy_until and self.is_urgent_at(worker.worker_id):
@@ -82,7 +82,7 @@
         return POLL_WAIT_MS
 
     def is_urgent_at(self, worker_id):
-        """Tell whether a run of the first priority is live at a worker."""
+        """Whether a run of the first priority is live at a worker."""
         worker = self.workers_by_id.get(worker_id)
         if worker is None:
             return False
@@ -90,7 +90,7 @@
         return any(job and self._queue_of(job).priority == 0 for job in jobs)
 
     def take_poll(self, request, sent_at, answer, now):
-        """Take the answer to a look.
+        """Process the answer to a poll.
 
         Args:
           request: The messages.HoldRequest.
@@ -100,13 +100,13 @@
         """
         worker = self.workers_by_id.get(request.worker_id)
         if worker is None or request.token != self.make_token(worker):
-            # What was asked of a life that is over says nothing of the next.
+            # The answer of an earlier incarnation does not apply to the current one.
             return
         if isinstance(answer, messages.Rejected):
             self._take_rejection(worker, request, answer, now)
             return
         if not isinstance(answer, messages.HoldAnswer):
-            # Orders would fail as this look did; the next look clears it.
+            # Commands would fail as this poll did; the next answer clears it.
             worker.avoid(now + ending.AVOID_S)
             worker.unanswered_at = now
             worker.note_silence(now, has_broken_off(answer, sent_at, now))
@@ -137,10 +137,10 @@
         self.needs_pass = True
 
     def _stop_waiting_gangs(self, worker, now):
-        """Stop members of gangs that wait elsewhere for one at a worker that refuses.
+        """Stop gang members that wait for one at a worker that refuses connections.
 
-        They would end as alone 3 s after their start, with nothing gained: whether the
-        one that they wait for is over is known 3.2 s after a crash at the soonest.
+        They would end as alone 3 s after their start without progress: that the other
+        member is over is known 3.2 s after a crash at the soonest.
         """
         for run in list(worker.runs_by_key.values()):
             step = self._find_step(run.key)
@@ -154,7 +154,7 @@
                     self._stop_run(member, now)
 
     def _detect_lost_answer(self, worker, now):
-        """Tell answers that are lost from workers that are."""
+        """Detect that an answer was lost on the way while the worker was reachable."""
         failed_at, worker.unanswered_at = worker.unanswered_at, None
         if failed_at is not None and now - failed_at < LOST_ANSWER_S:
             self._lossy_until = now + LOSSY_S
@@ -177,7 +177,7 @@
         self._stop_stalled_runs(worker, now)
 
     def _stop_stalled_runs(self, worker, now):
-        """Move tasks from a worker on which all stand still."""
+        """Suspect a worker on which all tasks are stalled, and stop them there."""
         running = [
             run
             for run in worker.runs_by_key.values()
@@ -192,8 +192,8 @@
             return
         if not running:
             return
-        # Bounded: a gang may stand still for long, and a power of two that no float
-        # holds ended the looks at its worker with an error.
+        # Bounded because a gang may stall for long: a power of two that overflows a
+        # float raised an error that ended the polls of its worker.
         worker.stalls = min(MAX_STALLS, worker.stalls + 1)
         suspect_s = min(MAX_STALL_SUSPECT_S, STALLED_S * 2**worker.stalls)
         worker.suspect(now + suspect_s)
@@ -204,7 +204,8 @@
 
     def _take_listed_run(self, worker, run, row, now):
         if incarnations.is_of_other_incarnation(run, worker):
-            # Its order came after the restart; a successor has to know the same.
+            # Its start command arrived after the restart. The record is updated so that
+            # a new owner knows it too.
             run.worker_started_at_ms = worker.started_at_ms
             if run.key.job_id in self.jobs_by_id:
                 self._mark(self.jobs_by_id[run.key.job_id])
@@ -222,16 +223,16 @@
             step.checkpoints_by_index[step.index_for(run.key.index)] = row.checkpoint
 
     def _take_unlisted_run(self, run, sent_at, now):
-        """A live run that the worker does not list, nor its end."""
+        """Process a live run of which the worker lists neither the run nor its end."""
         if run.state is model.RunState.UNHEARD or (
             run.stop_confirmed_at is not None and sent_at > run.stop_confirmed_at
         ):
             self._release_run(run, now)
 
     def _stop_unknown_run(self, worker, row, now):
-        """A run of an earlier owner that no record names: it is not needed."""
+        """Stop a run of an earlier owner that no record names."""
         step = self._find_step(row.key)
-        # Of a job that is not known, it may take the whole worker.
+        # A run of an unknown job may use the whole worker.
         unknown = specs.Step(1, worker.entry.total)
         spec = step.spec if step is not None else unknown
         if row.key in worker.runs_by_key:
@@ -249,9 +250,9 @@
 
 
 def has_broken_off(answer, sent_at, now):
-    """Tell whether a look that waited at a worker broke off, as where its process ends.
+    """Whether a poll broke off while it waited, as when the worker's process ends.
 
-    A worker that lost power and is there again resets what is sent to it at once.
+    A worker that lost power and is back resets earlier connections at once.
 
     Args:
       answer: A messages.NotReached or Unanswered.
@@ -265,11 +266,11 @@
 
 
 def has_left(worker, answer, now):
-    """Tell whether a worker has ended as it said it would.
+    """Whether a worker has ended after it announced that it drains.
 
-    Its entry said that it was draining, it answered a moment ago, its port refuses
-    now, and the store does not list it: an entry of a worker that is merely silent
-    stays longer.
+    Its entry states that it is draining, it answered within LEAVE_WINDOW_S, its port
+    refuses connections, and the store no longer lists it. The entry of a worker that is
+    merely silent stays longer.
 
     Args:
       worker: A model.Worker.
--- a/thornport/cell/decisions/stalls.py
+++ b/thornport/cell/decisions/stalls.py
@@ -1,11 +1,11 @@
-"""Steps that are due and have no task at work: for how long, and what holds them: pure.
-
-Each thing that can hold up a start is bounded by itself, but one may follow another or
-begin anew, so a step can stand still for longer than each of them. So a step has one
-clock, which only work stops: past its grace the step may use suspect workers and room
-reserved for others, and its calls for advice go first. All holds are found here, those
-of workers with the conditions of `eligibility`, in the order in which a start meets
-them, so that a log line can tell which ones hold a step at a moment.
+"""Stalled steps: how long a due step has had no task at work, and what blocks it.
+
+Does no I/O. Each blocker of a start is bounded by itself, but one may follow another or
+begin again, so a step can stall for longer than each of them. A step therefore has one
+stall clock, which only work stops. Past its grace the step may use suspect workers and
+room reserved for others, and its calls for advice go first. All blockers are found
+here, those of workers by the conditions of `eligibility`, in the order in which a start
+meets them, so that a log line can state which ones block a step at a moment.
 """
 
 import collections
@@ -21,28 +21,29 @@
     model,
 )
 
-# Overdue steps are told, and looked at again after this; so many at a time.
+# A stalled step is reported after REPORT_AFTER_S and checked again at each interval, at
+# most MAX_REPORTED steps at a time.
 REPORT_AFTER_S = 2.0
 REPORT_INTERVAL_S = 1.0
 MAX_REPORTED = 20
-ALLOWED_S = 3.0  # users allow a job that has room to stand still for this long
-START_S = 0.3  # from a ticket to the start: its record and the command
-# A step leaves suspect workers and reserved room alone for this long, less where a call
+ALLOWED_S = 3.0  # users allow a job that has room to stall for this long
+START_S = 0.3  # from a ticket to the start: persisting its record, and the command
+# How long a stalled step avoids suspect workers and reserved room; less where a call
 # for its advice takes long.
 MAX_GRACE_S = 1.8
 MIN_GRACE_S = 0.5
-# Where more is in use, room is short, and a job may well wait for it, by the users.
+# With a larger share in use, room is short, and users accept that a job waits for it.
 FULL_SHARE = 0.5
 
 
 class JobBlocker(enum.Enum):
-    """What holds up all tasks of a step, wherever they could run.
+    """What blocks all tasks of a step, on any worker.
 
-    LIMIT: its workspace may have no more running.
-    PASSED_OVER: the last rounds did not come to it.
-    TRIAL: tasks of its own that may crash workers are tried first.
+    LIMIT: its workspace has reached its limit.
+    PASSED_OVER: the last scheduling passes did not reach it.
+    TRIAL: other tasks of the step, which may crash workers, are on trial first.
     ADVICE_OPEN: a call for advice has no answer yet.
-    ADVICE_FAILED: one failed a moment ago.
+    ADVICE_FAILED: a call for advice has just failed.
     """
 
     LIMIT = "limit"
@@ -53,11 +54,11 @@
 
 
 class Stall(msgspec.Struct, frozen=True):
-    """A step of whose job nothing is known to be at work.
+    """A due step whose job is not known to have any task at work.
 
     Attributes:
       key: Its messages.StepKey.
-      stalled_ms: An int, for how long.
+      stalled_ms: An int, the duration of the stall.
       waiting: An int, its tasks without a run.
       live: Counts of the job's runs that may be live, by model.RunState.
       holds: JobBlockers.
@@ -75,16 +76,16 @@
 
     @property
     def reasons(self):
-        """What of it is told once: the reasons, without how long and how many."""
+        """The kinds of blockers and live runs; a report repeats when they change."""
         return frozenset((*self.live, *self.holds, *self.workers))
 
 
 def record_work(job, worker, now):
-    """Take that a run of a job goes on, ends, is stopped, or is lost with its worker.
+    """Record work of a job when a run goes on, ends, is stopped or loses its worker.
 
     Args:
       job: A model.JobEntry.
-      worker: The model.Worker that it is or was at.
+      worker: The model.Worker of the run.
       now: A float.
     """
     worked_until = now if worker.silent_since is None else worker.heard_at
@@ -92,10 +93,10 @@
 
 
 def record_job_work(job, workers_by_id, now):
-    """Note until when a job has been at work, as far as is known.
+    """Record until when a job is known to have been at work.
 
-    A run that is being stopped or has not begun is no work, nor one of which its worker
-    has not told this owner.
+    Runs that are being stopped, have not begun, or were not reported to this owner by
+    their worker do not count as work.
 
     Args:
       job: A model.JobEntry.
@@ -112,20 +113,20 @@
 
 
 def update_idle_since(job, step, now):
-    """Note since when a step that may start has been standing still.
+    """Update since when a step that may start is stalled.
 
     Args:
-      job: Its model.JobEntry, noted by `note_work_of_job`.
-      step: A model.StepState of which tasks wait.
+      job: Its model.JobEntry, updated by `record_job_work`.
+      step: A model.StepState with waiting tasks.
       now: A float.
     """
     if step.is_at_limit:
-        # Time at the limit is no standing still.
+        # Time at the workspace limit does not count as a stall.
         job.worked_until = now
         step.waiting_since_by_index.clear()
         step.idle_since = None
     elif step.spec.lasting:
-        # Each of its tasks counts by itself, until its worker has said that it runs.
+        # Each task has a clock of its own, until its worker reports that it runs.
         since_by_index = step.waiting_since_by_index
         step.idle_since = min(
             since_by_index.setdefault(index, now) for index in step.waiting
@@ -136,12 +137,12 @@
 
 
 def restore_idle(job, waited_s, now):
-    """Take that a job had been standing still when its owner was replaced.
+    """Restore the stall clock of a job after a change of owner.
 
     Args:
       job: A model.JobEntry of which nothing has begun.
-      waited_s: A float, seconds by the clocks of two VMs, which may be apart or jump:
-        it counts between nothing and the longest grace.
+      waited_s: A float, seconds by the clocks of two VMs, which may differ or jump; it
+        is therefore clamped to between 0 and MAX_GRACE_S.
       now: A float.
     """
     idle_since = now - min(MAX_GRACE_S, max(0.0, waited_s))
@@ -152,7 +153,7 @@
 
 
 def compute_advice_s(advice, workers):
-    """Compute how long a call takes that a step needs before it starts.
+    """Compute the duration of the call for advice that a step needs before it starts.
 
     Args:
       advice: A queue.Advice; None where the step's queue asks for none.
@@ -166,14 +167,14 @@
 
 
 def is_past_grace(step, advice_s, now):
-    """Tell whether a step has stood still for longer than it is to wait for others.
+    """Whether a step has been stalled for longer than its grace.
 
-    The rest of the time that users allow is for its advice: all processes may have just
-    begun a call that takes as long as its own.
+    The rest of the time that users allow is left for advice: all processes may have
+    just begun a call that takes as long as the step's own.
 
     Args:
       step: A model.StepState.
-      advice_s: A float, from `compute_advice_s`; 0 to leave no time for a call.
+      advice_s: A float, from `compute_advice_s`; 0 to reserve no time for a call.
       now: A float.
     Returns:
       A bool.
@@ -197,19 +198,19 @@
 
 
 def find_worker_blocker(step, worker, reserved, needs_ticket, now):
-    """Find what keeps a step from a worker, the first of it.
+    """Find the first blocker that keeps a step from a worker.
 
     Args:
       step: A model.StepState.
       worker: A model.Worker.
-      reserved: The reserving.Reservations of the last round; None before the first.
+      reserved: The reserving.Reservations of the last pass; None before the first.
       needs_ticket: Whether the step's queue asks for advice.
       now: A float.
     Returns:
       An eligibility.WorkerBlocker.
     """
     refusal = eligibility.find_refusal(worker, now)
-    # Rounds try a silent worker again once it is no longer avoided.
+    # A pass tries a silent worker again once the worker is no longer avoided.
     if worker.silent_since is not None and refusal in (
         None,
         eligibility.WorkerBlocker.SUSPECT,
@@ -237,12 +238,12 @@
 
 
 def compute_used_shares(candidates):
-    """Read what of the room of some workers is in use.
+    """Compute the used shares of the resources of some workers.
 
     Args:
       candidates: A placing.Candidates.
     Returns:
-      A tuple of floats: of cores, memory and accelerators; 0 of what there is none of.
+      A tuple of floats, for cores, memory and accelerators; 0 where the total is 0.
     """
     total, used = candidates.sum_room()
     pairs = (
--- a/thornport/cell/decisions/ticketing.py
+++ b/thornport/cell/decisions/ticketing.py
@@ -1,7 +1,7 @@
-"""Calls for advice, and the tickets that they give.
+"""Requests advice and stores the tickets that it returns.
 
-Some queues run only where their advice says so. Advice is slow and priced, so it
-is called for ahead of the start, and only about workers that could take tasks.
+Tasks of some queues run only on workers that advice allows. Advice is slow and priced,
+so it is requested ahead of the start, and only for workers that could run tasks.
 """
 
 import itertools
@@ -22,33 +22,34 @@
 from thornport.kernel import clock
 
 ADVICE_RETRY_S = 0.3  # after a call for advice that failed
-# Beyond the time that a call takes, where its step has stood still for long: a busy
-# process answers late, and a call that is given up is made anew.
+# Beyond the duration of a call, for a step past its grace: a busy process answers late,
+# and a call that times out is made again by another process.
 OVERDUE_SLACK_S = 0.3
-# Named in a short call, by the tasks that wait: a quarter of the workers may be good
-# for a step, and others take room meanwhile. To name a hundred for each urgent job of
-# three tasks made an answer of 4 KB, most of it never used.
+# Workers named in a short call, per waiting task and in addition: a quarter of the
+# workers may be good for a step, and other steps take room meanwhile. Naming a hundred
+# for each urgent job of three tasks made answers of 4 KB that were mostly unused.
 ASKED_PER_TASK = 4
 ASKED_BASE = 8
-# Looked at for a step's room in one round at the most, well above a hundred to be asked
-# about. To look at all of 1,000 workers for each step took twice the processor at 330
-# jobs a second, and a round lasted for up to half a second, in which an owner sends no
-# heartbeat and is replaced. All of 270 workers are within it.
+# Workers scanned for a step's room in one scheduling pass, well above the hundred that
+# a call names. Scanning all of 1,000 workers for each step doubled the processor time
+# at 330 jobs a second, and a pass took up to half a second, during which the owner
+# sends no heartbeat and is replaced. A cell of 270 workers is scanned whole.
 MAX_SCANNED_WORKERS = 400
-# Enough are known to be good once they would hold a step so many times, empty.
+# Enough workers are known to be good once they could hold, empty, this many times the
+# tasks of the step.
 GOOD_MULTIPLE = 3
-# A ticket is there this long before its room is expected: runs end early too, and a
-# ticket holds for 2 s.
+# Tickets are requested to arrive this long before room is expected: runs may end early,
+# and a ticket is valid for 2 s.
 TICKET_LEAD_S = 0.4
 
 
 class CallAdvice(msgspec.Struct, frozen=True):
-    """One of our processes is to call for advice.
+    """A command to one of our processes to call for advice.
 
     Attributes:
-      deadline: A float, when the answer is given up.
-      fences: Ints, of the lives of the workers that it names, in order; the answer is
-        of those alone.
+      deadline: A float, when to stop waiting for the answer.
+      fences: Ints, the fences of the incarnations of the workers that it names, in
+        order; the answer holds for those alone.
     """
 
     name: str
@@ -59,12 +60,12 @@
 
 
 class Ticketing(listing.Listing):
-    """Has advice called for and takes the answers."""
+    """Requests advice for steps and processes the answers."""
 
     def _ask_advice(self, step, queue, candidates, reserved, need, now):
-        """Ask about workers for a step that could start now, first those with room.
+        """Request advice for a step that could start now, first on workers with room.
 
-        Of a long call the first part is the longest, so it may as well tell of more.
+        The fixed part dominates a long call, so a long call names more workers.
 
         Args:
           step: A model.StepState.
@@ -75,44 +76,47 @@
           now: A float.
         """
         ticketed = eligibility.list_ticketed(step, candidates, now)
-        lapsed = self._list_ticketless(step, candidates, now)
+        ticketless = self._list_ticketless(step, candidates, now)
         is_long = queue.advice.base_ms / clock.MS_PER_S >= advising.LONG_CALL_S
         count = advising.MAX_ASKED_WORKERS if is_long else count_asked(step)
-        roomy = list_with_room(step, lapsed, reserved)
+        with_room = list_with_room(step, ticketless, reserved)
         tasks = len(step.waiting)
-        if not placing.has_room(step, [*ticketed, *roomy], reserved, tasks):
-            # Those that are known to be good are full: of the others some may be good.
+        if not placing.has_room(step, [*ticketed, *with_room], reserved, tasks):
+            # The workers known to be good are full; some of the others may be good.
             unknown = itertools.islice(
                 iterate_unasked(step, candidates), MAX_SCANNED_WORKERS
             )
             found = take_with_room(step, unknown, reserved, count)
             if not found:
-                # Few may be large enough for it: the next round goes on from here.
+                # Few workers may be large enough; the next pass continues from here.
                 step.walked += MAX_SCANNED_WORKERS
-            roomy += found
-        if not roomy or not placing.has_room(step, [*ticketed, *roomy], reserved):
+            with_room += found
+        if not with_room or not placing.has_room(
+            step, [*ticketed, *with_room], reserved
+        ):
             return
-        roomy_ids = {worker.worker_id for worker in roomy}
-        others = lapsed
-        if len(roomy) < count and not self._knows_enough(step, candidates):
+        with_room_ids = {worker.worker_id for worker in with_room}
+        others = ticketless
+        if len(with_room) < count and not self._knows_enough(step, candidates):
             unknown = iterate_unasked(step, candidates)
-            others = lapsed + list(itertools.islice(unknown, count))
-        others = [w for w in others if w.worker_id not in roomy_ids]
-        self._want_advice(step, queue, [*roomy, *others][:count], need)
+            others = ticketless + list(itertools.islice(unknown, count))
+        others = [w for w in others if w.worker_id not in with_room_ids]
+        self._want_advice(step, queue, [*with_room, *others][:count], need)
 
     def _ask_early(self, step, queue, candidates, starts_at, now):
-        """Ask about workers for a step that can't start yet.
+        """Request advice for a step that can't start yet.
 
-        Which are good never changes, and is asked at once: room is kept at those alone.
-        Their tickets are renewed so that they are there when the room comes. In a cell
-        of hundreds of workers it is not asked of all: one call about a hundred takes as
-        long as its tickets hold, and steps waited 20 s for the others.
+        Which workers are good never changes and is requested at once, because capacity
+        is reserved on good workers alone. Their tickets are renewed in time for the
+        expected room. In a cell of hundreds of workers not all are named: a call for a
+        hundred takes as long as its tickets are valid, and steps waited 20 s for the
+        remaining calls.
 
         Args:
           step: A model.StepState.
           queue: A queue.Queue with advice.
           candidates: A placing.Candidates.
-          starts_at: A float, when it is expected to start; None if that is not known.
+          starts_at: A float, when it is expected to start; None if unknown.
           now: A float.
         """
         if not self._may_ask(step, now):
@@ -125,16 +129,16 @@
             if asked:
                 self._want_advice(step, queue, asked, asking.Need.IN_TURN)
                 return
-        lapsed = self._list_ticketless(step, candidates, now)
-        lead_s = advising.compute_cost_s(queue.advice, lapsed) + TICKET_LEAD_S
-        if lapsed and starts_at is not None and starts_at - now <= lead_s:
-            self._want_advice(step, queue, lapsed, asking.Need.IN_TURN)
+        ticketless = self._list_ticketless(step, candidates, now)
+        lead_s = advising.compute_cost_s(queue.advice, ticketless) + TICKET_LEAD_S
+        if ticketless and starts_at is not None and starts_at - now <= lead_s:
+            self._want_advice(step, queue, ticketless, asking.Need.IN_TURN)
 
     def _renew_recording_tickets(self, now):
-        """Ask for the tickets that starts wait for whose records are kept.
+        """Request the tickets that recording runs wait for.
 
-        Only their own workers are named, and before the step's other tasks ask: they
-        hold room already.
+        Such a call names only the workers of those runs. It goes before calls for the
+        step's other tasks, because the runs already occupy room.
         """
         for key, runs in self._unticketed.items():
             step = self._find_step(key)
@@ -144,37 +148,37 @@
             worker_ids = {run.worker_id for run in runs if run.state is recording}
             if not worker_ids:
                 continue
-            # More than a call may name take turns.
-            lapsed_first = sorted(sorted(worker_ids), key=step.read_ticket_deadline)
-            workers = [self.workers_by_id[worker_id] for worker_id in lapsed_first]
+            # Workers beyond the limit of a call are named in later calls.
+            earliest_first = sorted(sorted(worker_ids), key=step.read_ticket_deadline)
+            workers = [self.workers_by_id[worker_id] for worker_id in earliest_first]
             queue = self._queue_of(self.jobs_by_id[key.job_id])
             self._want_advice(step, queue, workers, asking.Need.NOW)
 
     def _may_ask(self, step, now):
-        """Whether no call for a step is open or wanted, nor failed a moment ago."""
+        """Whether a step has no open or wanted call and is not in its retry delay."""
         is_asked = step.is_advising or self._wanted_calls.has_step(step.key)
         return not is_asked and now >= step.retry_advice_at
 
     def _knows_enough(self, step, candidates):
-        """Whether no further workers need be asked about before they have room."""
+        """Whether the known good workers suffice, so that no others need be named."""
         good = eligibility.list_good(step, candidates)
         wanted = GOOD_MULTIPLE * step.spec.count
         return placing.count_places(step, good, GOOD_MULTIPLE) >= wanted
 
     def _list_ticketless(self, step, candidates, now):
-        """List the workers that are good for a step but need a ticket anew."""
+        """List the workers that are good for a step but have no valid ticket."""
         good = eligibility.list_good(step, candidates)
         return [
             worker for worker in good if not eligibility.has_ticket(step, worker, now)
         ]
 
     def _find_need(self, queue, is_overdue):
-        """Find the asking.Need of a call for a step that has room."""
+        """Determine the asking.Need of a call for a step that has room."""
         is_full = self._find_listed(queue.service).used_share >= stalls.FULL_SHARE
         return asking.find_need(queue, is_overdue, is_full)
 
     def _want_advice(self, step, queue, workers, need):
-        """Have advice called for as soon as a process is free."""
+        """Add a wanted call, to be made as soon as a process is free."""
         job = self.jobs_by_id.get(step.key.job_id)
         job = job or self._incoming_by_id[step.key.job_id]
         workers = workers[: advising.MAX_ASKED_WORKERS]
@@ -184,15 +188,15 @@
         )
 
     def _rank_job(self, job):
-        """Rank a job: the steps of the lowest are placed first."""
+        """Return a job's rank; steps of the lowest rank are placed first."""
         return self._queue_of(job).priority, not job.is_owed, job.order
 
     def _make_wanted_calls(self, now, only_urgent=False):
-        """Make the wanted calls for which there are processes, the neediest first.
+        """Make the wanted calls that processes are free for, by need.
 
         Args:
           now: A float.
-          only_urgent: Whether to leave out queues that are not of the first priority.
+          only_urgent: Whether to make only calls of queues of the first priority.
         """
         calls = []
         for call in self._wanted_calls.list_calls(only_urgent):
@@ -206,11 +210,11 @@
                 self._wanted_calls.discard(call.step.key)
                 calls.remove(call)
             else:
-                # Others that take as long find no process either.
+                # No process is free for the other calls of this kind either.
                 calls = [one for one in calls if one.is_long is not call.is_long]
 
     def _is_still_wanted(self, call, now):
-        """Whether a call that has waited for a process would still bring anything."""
+        """Whether a call that has waited for a process is still useful."""
         step = call.step
         is_known = self._find_step(step.key) is step
         is_open = step.waiting or step.key in self._unticketed
@@ -220,7 +224,7 @@
         return is_known and is_open and may_ask and has_workers
 
     def _call_advice(self, wanted, now):
-        """Have a process make a call.
+        """Assign a wanted call to a process.
 
         Args:
           wanted: An asking.WantedCall.
@@ -247,7 +251,7 @@
         return True
 
     def take_advice(self, request, answer, now):
-        """Take the answer to a call for advice.
+        """Process the answer to a call for advice.
 
         Args:
           request: The messages.AdviceRequest.
@@ -272,7 +276,7 @@
         asked_ids = self._list_unchanged_ids(open_call)
         late_call = self._late_advice_by_step.pop(request.step, None)
         if late_call is not None and late_call.request == request:
-            # It may be the answer to that call.
+            # The answer may belong to the earlier call that timed out.
             asked_ids &= self._list_unchanged_ids(late_call)
         step.asked_ids |= asked_ids
         step.good_ids -= asked_ids
@@ -283,7 +287,7 @@
         self.needs_pass = True
 
     def _give_up_advice(self, now):
-        """Give up the calls whose answers are late; others make them anew at once."""
+        """Time out calls whose answers are late; other processes retry them at once."""
         for call in list(self._open_advice_by_step.values()):
             step = self._find_step(call.request.step)
             late_at = call.deadline
@@ -303,7 +307,9 @@
         }
 
     def _list_unchanged_ids(self, call):
-        """List the workers of a call that live on: another life may be of another kind.
+        """List the workers of a call that are still of the same incarnation.
+
+        A new incarnation may be of another kind.
 
         Args:
           call: A CallAdvice.
@@ -321,16 +327,16 @@
 
 
 def count_asked(step):
-    """Count the workers that a short call for a step names at most, an int."""
+    """Return the most workers that a short call for a step names, an int."""
     return min(
         advising.MAX_ASKED_WORKERS, ASKED_BASE + ASKED_PER_TASK * len(step.waiting)
     )
 
 
 def iterate_unasked(step, candidates):
-    """Walk the workers that advice was not asked about, in an order of a step's own.
+    """Iterate over workers not named in a step's calls yet, from a start of its own.
 
-    Steps that are asked for at the same time would else all get tickets for the same
+    Without that, steps that ask at the same time would all get tickets for the same
     workers, and the first would take the room of the others.
 
     Args:
@@ -356,15 +362,17 @@
 
     Args:
       step: A model.StepState.
-      workers: An iterator of model.Worker, walked no further than needed.
+      workers: An iterator of model.Worker, consumed no further than needed.
       reserved: A reserving.Reservations.
-      count: An int, the most that are wanted.
+      count: An int, the most to take.
     Returns:
       A list of model.Worker.
     """
     demand = step.spec.demand
-    roomy = (w for w in workers if demand.fits(reserved.compute_usable_room(step, w)))
-    return list(itertools.islice(roomy, count))
+    with_room = (
+        w for w in workers if demand.fits(reserved.compute_usable_room(step, w))
+    )
+    return list(itertools.islice(with_room, count))
 
 
 def list_with_room(step, workers, reserved):
@@ -375,7 +383,7 @@
       workers: A list of model.Worker.
       reserved: A reserving.Reservations.
     Returns:
-      A list of them.
+      A list of model.Worker.
     """
     demand = step.spec.demand
     return [w for w in workers if demand.fits(reserved.compute_usable_room(step, w))]
