--- a/thornport/cell/decisions/eligibility.py
+++ b/thornport/cell/decisions/eligibility.py
@@ -1,31 +1,31 @@
-"""Which workers may get tasks of a step, and what keeps them from the others: pure.
+"""Decides which workers may get tasks of a step, and why the others may not.
 
-Rounds and the log lines about steps that stand still go by the same conditions: what a
-line names as a hold is what a round met.
+Pure functions. Scheduling passes and the log lines about stalled steps use the same
+conditions, so a blocker that a line names is one that a pass met.
 """
 
 import enum
 
 from thornport.cell.decisions import messages
 
-TICKET_MARGIN_S = 0.1  # from the decision to the worker: a commit and a call
+TICKET_MARGIN_S = 0.1  # time for the commit and the call to the worker
 
 
 class WorkerBlocker(enum.Enum):
-    """What keeps a step from a worker that it may run at.
-
-    UNLISTED: the store does not list the worker, or it drains.
-    UNHEARD: it has not answered this owner yet.
-    UNDESCRIBED: the store has no entry of its present incarnation.
-    SILENT: the last calls to it failed.
-    SUSPECT: tasks failed or stood still there.
-    DISTURBED: filling and serving work may not share it.
-    FULL: it has no room.
-    TRIAL: a task that may crash it is being tried there.
-    RESERVED: its room is reserved for another step.
-    NOT_ASKED: advice was not asked about it.
-    NO_TICKET: the ticket for it has lapsed.
-    NONE: nothing; a round may start a task there.
+    """Why a step cannot start a task on a worker that it may run on.
+
+    UNLISTED: the store does not list the worker, or the worker is draining.
+    UNHEARD: the worker has not answered this owner yet.
+    UNDESCRIBED: the store has no entry of the worker's current incarnation.
+    SILENT: the last calls to the worker failed.
+    SUSPECT: tasks failed or stalled on the worker.
+    DISTURBED: backfill and serving work may not share the worker.
+    FULL: the worker has no room.
+    TRIAL: a task that may crash the worker is on trial there.
+    RESERVED: the worker's room is reserved for another step.
+    NOT_ASKED: advice was not asked about the worker.
+    NO_TICKET: the ticket for the worker has lapsed.
+    NONE: nothing; a scheduling pass may start a task there.
     """
 
     UNLISTED = "unlisted"
@@ -43,14 +43,14 @@
 
 
 def find_refusal(worker, now, with_suspects=False):
-    """Find why a worker takes no new tasks, whatever their step: the first reason.
+    """Find the first reason why a worker takes no new tasks of any step.
 
     Args:
       worker: A model.Worker.
       now: A float.
-      with_suspects: A bool, whether a suspect one does.
+      with_suspects: A bool, whether suspect workers take tasks.
     Returns:
-      A WorkerBlocker; None if it takes them.
+      A WorkerBlocker; None if the worker takes tasks.
     """
     if not worker.is_listed or worker.entry.state is not messages.WorkerState.READY:
         return WorkerBlocker.UNLISTED
@@ -66,24 +66,24 @@
 
 
 def read_kind(step):
-    """What `is_allowed` depends on of a step.
+    """Read the properties of a step that `is_allowed` depends on.
 
     Args:
       step: A model.StepState.
     Returns:
-      A tuple that is equal for steps that the same workers may run.
+      A tuple; equal tuples mean that the same workers may run the steps.
     """
     return step.spec.label, step.spec.fills, step.spec.tail_target_ms > 0
 
 
 def is_allowed(step, worker, now, with_suspects=False):
-    """Tell whether a worker may get tasks of a step at all.
+    """Tell whether a worker may get tasks of a step, regardless of room and tickets.
 
     Args:
       step: A model.StepState.
       worker: A model.Worker.
       now: A float.
-      with_suspects: A bool, whether a suspect worker may.
+      with_suspects: A bool, whether suspect workers are allowed.
     Returns:
       A bool.
     """
@@ -93,7 +93,7 @@
 
 
 def has_label(step, worker):
-    """Tell whether a worker has the label that a step asks for, if any.
+    """Tell whether a worker has the label that a step requires, if any.
 
     Args:
       step: A model.StepState.
@@ -105,9 +105,9 @@
 
 
 def disturbs(step, worker):
-    """Tell whether a step and what runs at a worker must stay apart.
+    """Tell whether a step must not share a worker with what runs there.
 
-    Filling work disturbs serving work by amounts that are not known.
+    Backfill work slows serving work on the same worker by unknown amounts.
 
     Args:
       step: A model.StepState.
@@ -121,13 +121,13 @@
 
 
 def has_ticket(step, worker, now):
-    """Tell whether a step has a ticket for a worker that still holds."""
+    """Tell whether a step has a ticket for a worker that is still valid."""
     ticket = step.tickets_by_worker.get(worker.worker_id)
     return ticket is not None and ticket[1] > now + TICKET_MARGIN_S
 
 
 def list_ticketed(step, candidates, now):
-    """List the workers that a step has tickets for.
+    """List the candidates that a step has valid tickets for.
 
     Args:
       step: A model.StepState.
@@ -144,13 +144,13 @@
 
 
 def list_good(step, candidates):
-    """List the workers of which advice has said that they may run a step.
+    """List the candidates that advice allows to run a step.
 
     Args:
       step: A model.StepState.
       candidates: A placing.Candidates.
     Returns:
-      A list of model.Worker, in the order of their ids.
+      A list of model.Worker, sorted by id.
     """
     by_id = candidates.by_id
     return [by_id[one] for one in sorted(step.good_ids) if one in by_id]
--- a/thornport/cell/decisions/explaining.py
+++ b/thornport/cell/decisions/explaining.py
@@ -333,7 +333,7 @@
         if not self._are_dependencies_done(job, step):
             return Waiting.EARLIER_STEPS
         name = job.record.workspace
-        if usage.is_too_wide(step, self.usage.read_limit(name)):
+        if usage.exceeds_limit(step, self.usage.read_limit(name)):
             return Waiting.OVER_LIMIT
         if not self.usage.count_startable(step, name):
             return Waiting.LIMIT
--- a/thornport/cell/decisions/limits_test.py
+++ b/thornport/cell/decisions/limits_test.py
@@ -1,6 +1,6 @@
-"""The owner's decisions where workspaces have limits that change.
+"""The owner's decisions while the limits of workspaces change.
 
-The world of these tests, and what is checked at each start, are in tests.cellworld.
+tests.cellworld simulates the cell and checks each start.
 """
 
 import random
@@ -15,7 +15,7 @@
 
 
 class LimitedCell(unittest.TestCase):
-    """Workspaces whose limits change while all else goes wrong too."""
+    """Limits change while calls are lost, workers restart and owners change."""
 
     @settings(max_examples=60, deadline=None)
     @given(
@@ -24,7 +24,7 @@
         late=st.sampled_from([0.0, 0.05, 0.3]),
         keeps_id=st.booleans(),
     )
-    def test_no_start_takes_a_workspace_past_its_limit(
+    def test_no_start_exceeds_the_limit_of_a_workspace(
         self, seed, lost, late, keeps_id
     ):
         rng = random.Random(seed)
@@ -53,7 +53,7 @@
         states = world.read_states()
         self.assertLessEqual(set(states.values()), finals, states)
 
-    def test_step_goes_in_waves_and_uses_its_limit(self):
+    def test_step_wider_than_the_limit_runs_in_waves_that_use_it_fully(self):
         world = cellworld.World(cellworld.Faults(random.Random(1)))
         world.put_limits(a=12)
         step = cellworld.make_step(9, 4, 500)
@@ -77,7 +77,7 @@
         running = sum(len(w.active_by_key) for w in world.workers_by_id.values())
         self.assertEqual(running, 2)
 
-    def test_gang_that_can_never_fit_waits_and_is_told_why(self):
+    def test_gang_over_the_limit_waits_and_reports_why(self):
         world = cellworld.World(cellworld.Faults(random.Random(1)))
         world.put_limits(a=8)
         gang = cellworld.make_step(6, 4, 500, gang=True)
--- a/thornport/cell/decisions/listing.py
+++ b/thornport/cell/decisions/listing.py
@@ -1,39 +1,39 @@
-"""Lists of the workers that steps may use, made once for many steps.
+"""Caches the lists of candidate workers by kind of step.
 
-Looking at each worker for each step takes too long in a cell of thousands, so steps
-that the same workers may run share a list for a while. A worker may have changed since
-then, so it is checked once more before a task starts there.
+Checking each worker for each step takes too long in a cell of thousands of workers, so
+steps that the same workers may run share a list for a while. A worker may have changed
+since it was listed, so it is checked again before a task starts there.
 """
 
 from thornport.cell.decisions import cellstate, eligibility, placing
 
-# Maximum age of a list that rounds for urgent steps, and jobs that come, may use: in a
-# cell of thousands more jobs come than lists can be made. Rounds for all steps make new
-# lists.
+# Maximum age of a list for passes over urgent steps and for newly accepted jobs: in a
+# cell of thousands of workers, jobs arrive faster than lists can be made. Passes over
+# all steps make new lists.
 MAX_LIST_AGE_S = 0.1
 
 
 class Listing(cellstate.CellState):
-    """Lists workers by service and kind of step."""
+    """Caches candidate workers by service and kind of step."""
 
-    def _renew_lists(self, now, longest_s=0.0):
-        """Have the workers listed anew if they were listed too long ago.
+    def _renew_lists(self, now, max_age_s=0.0):
+        """Drop the cached lists if they are too old.
 
         Args:
           now: A float.
-          longest_s: A float; 0 to list them anew in any case.
+          max_age_s: A float, their maximum age; 0 to drop them in any case.
         """
-        if not longest_s or now - self._listed_at > longest_s:
+        if not max_age_s or now - self._listed_at > max_age_s:
             self._candidates_by_kind.clear()
             self._listed_at = now
 
     def _find_candidates(self, step, queue, now, with_suspects=False):
-        """Find the workers that steps like one may use, as they were listed last.
+        """Find the workers that a step of this kind may use, listing them if needed.
 
         Args:
-          with_suspects: A bool, whether it may use suspect workers too.
+          with_suspects: A bool, whether suspect workers are included.
         Returns:
-          A placing.Candidates; `_is_there` tells which of them are so still.
+          A placing.Candidates; check each with `_is_still_eligible` before a start.
         """
         kind = (queue.service, eligibility.read_kind(step), with_suspects)
         candidates = self._candidates_by_kind.get(kind)
@@ -49,7 +49,7 @@
         return candidates
 
     def _find_listed(self, service):
-        """Find all workers of a service, as they were listed last; a Candidates."""
+        """Find all listed workers of a service, a placing.Candidates from the cache."""
         candidates = self._candidates_by_kind.get(service)
         if candidates is None:
             listed = [
@@ -62,7 +62,7 @@
         return candidates
 
     def _is_still_eligible(self, worker, candidates, now):
-        """Whether a worker that was listed a moment ago still takes tasks."""
+        """Whether a candidate is still known and still takes tasks."""
         if self.workers_by_id.get(worker.worker_id) is not worker:
             return False
         refusal = eligibility.find_refusal(worker, now, candidates.has_suspects)
--- a/thornport/cell/decisions/passes.py
+++ b/thornport/cell/decisions/passes.py
@@ -1,4 +1,4 @@
-"""Rounds of placement: what can start is started, the foremost steps first."""
+"""Scheduling passes: start the waiting tasks that fit, highest-ranked steps first."""
 
 import bisect
 
@@ -18,32 +18,32 @@
 )
 from thornport.jobs import record
 
-MAX_PASS_STEPS = 80  # steps tried in a round, to bound its processor time
-# Of these, the foremost in each round. What can't start is tried there again and again;
-# the others take turns, or what comes behind would wait for as long.
+MAX_PASS_STEPS = 80  # steps tried in a pass, to bound its processor time
+# The highest-ranked steps, which each pass tries. The others take turns across passes:
+# steps that can't start would otherwise starve those behind them.
 TOP_RANKED_STEPS = 60
-# Up to this many of the others are tried first if advice about them has come, since
-# their tickets might lapse before their turn.
+# Of the others, up to this many with new advice are tried first: their tickets might
+# lapse before their turn.
 MAX_ANSWERED_STEPS = 10
 
 
 class Passes(ticketing.Ticketing):
-    """Decides on starts; they go out once their records are kept."""
+    """Decides which tasks start where; starts are sent once recorded durably."""
 
     def place(self, now, only_urgent=False):
-        """Start what can start, the foremost steps first.
+        """Run a scheduling pass.
 
         Args:
           now: A float.
-          only_urgent: Whether to leave out what is not of the first priority. What is
-            placed is the same then, for steps behind take no room from those before.
+          only_urgent: Whether to try only steps of the highest priority. They are
+            placed as in a full pass: lower-ranked steps take no room from them.
         """
         self.needs_pass = False
         self._try_steps(now, only_urgent)
         self._make_wanted_calls(now, only_urgent)
 
     def _try_steps(self, now, only_urgent):
-        """Start what can start, and note which advice is wanted."""
+        """Start the tasks that can start, and collect the calls for advice to make."""
         self._renew_lists(now, listing.MAX_LIST_AGE_S if only_urgent else 0.0)
         self._renew_recording_tickets(now)
         reserved = reserving.Reservations(now)
@@ -66,7 +66,7 @@
             startable = self.usage.count_startable(step, job.record.workspace)
             self._note_limit(job, step, is_waiting=not startable)
             if not startable:
-                # It waits for its workspace, so it asks nothing of the workers.
+                # The step waits for its workspace's limit, so no worker is considered.
                 continue
             candidates = self._try_step(job, step, queue, reserved, startable, now)
             tried += self._may_fit(step, candidates, now)
@@ -77,12 +77,12 @@
                     yields.note_waiting_gang(queue, candidates.workers)
 
     def _try_step(self, job, step, queue, reserved, startable, now):
-        """Start what can start of a step; else ask where it may run.
+        """Start the tasks of a step that fit; ask for advice if some do not start.
 
         Args:
-          startable: An int, how many tasks its workspace may start now.
+          startable: An int, how many tasks the workspace's limit lets start now.
         Returns:
-          The placing.Candidates that it may use.
+          The placing.Candidates of the step.
         """
         candidates = self._find_candidates(step, queue, now)
         started = self._place_step(
@@ -93,7 +93,7 @@
             reserved.exempt(step)
             candidates = self._find_candidates(step, queue, now, with_suspects=True)
             if not step.spec.gang and not step.spec.lasting:
-                # One task is enough; the others leave the room as before.
+                # Only one task may use reserved room; the others respect it.
                 startable = 1
             started = self._place_step(
                 job, step, queue, candidates, reserved, startable, now, is_overdue
@@ -106,17 +106,18 @@
         return candidates
 
     def _may_fit(self, step, candidates, now):
-        """Whether any of the workers may have room for a task of a step.
+        """Whether any candidate may have room for a task of a step.
 
-        What none has room for costs a comparison, and holds up nothing.
+        A step that fits nowhere costs one comparison and does not use up the pass.
         """
         return self._listed_at < now or candidates.may_fit(step.spec.demand)
 
     def _is_overdue(self, job, step, queue, candidates, now):
-        """Whether a step may use room reserved for others, and suspect workers.
+        """Whether a step may use suspect workers and room reserved for other steps.
 
-        Those may be all that it has, and its tasks may be sound where others were not.
-        What lasts may however full its service is, by the users.
+        Suspect workers may be the only ones left, and this step's tasks may succeed
+        where others failed. Users allow this to lasting steps however full the service
+        is.
         """
         advice_s = stalls.compute_advice_s(queue.advice, candidates.workers)
         if not stalls.is_past_grace(step, advice_s, now):
@@ -128,7 +129,7 @@
         return self._find_listed(queue.service).used_share < stalls.FULL_SHARE
 
     def _note_limit(self, job, step, is_waiting):
-        """Note that a step begins, or ceases, to wait for its workspace's limit."""
+        """Note that a step starts or stops waiting for its workspace's limit."""
         if step.is_at_limit == is_waiting:
             return
         step.is_at_limit = is_waiting
@@ -142,7 +143,7 @@
         )
 
     def _list_ready(self, only_urgent, now):
-        """List what may start, by rank, and note since when it has stood still.
+        """List the steps that may start, by rank, and update how long they are idle.
 
         Args:
           only_urgent: As for `place`.
@@ -169,7 +170,7 @@
         return ready
 
     def _rank(self, ready):
-        """Rank a pair of a job and a step: the lowest is placed first."""
+        """Rank a pair of a job and a step; the lowest rank is placed first."""
         return self._rank_job(ready[0])
 
     def _are_dependencies_done(self, job, step):
@@ -181,10 +182,10 @@
         )
 
     def _reserve(self, step, queue, candidates, reserved, now):
-        """Keep room for a wide step that waits.
+        """Reserve room for a wide step that waits.
 
         Returns:
-          A float, when it is expected to start; None if that is not known.
+          A float, when the step is expected to start; None if unknown.
         """
         if not reserving.is_wide(step, candidates.median_total):
             return None
@@ -199,7 +200,7 @@
     def _place_step(
         self, job, step, queue, candidates, reserved, startable, now, is_overdue=False
     ):
-        """Start tasks of a step where it may run; an int, how many were started."""
+        """Start tasks of a step on its allowed workers; return how many started."""
         if not self._may_fit(step, candidates, now):
             return 0
         if queue.advice is None:
@@ -217,16 +218,16 @@
         return self._start_step(job, step, workers, reserved, indexes[:startable])
 
     def _ask_to_start(self, step, queue, candidates, reserved, need, now):
-        """Ask where a step may run that has room, if its queue has advice."""
+        """Ask for advice on workers with room for a step, if its queue has advice."""
         if queue.advice is not None and self._may_ask(step, now):
             self._ask_advice(step, queue, candidates, reserved, need, now)
 
     def _list_without_trial(self, workers, now):
-        """List the workers at which no task is on trial.
+        """List the workers on which no task is on trial.
 
-        All that a crash has ended is free at the same moment. Started again together,
-        on a worker that has room for it, the tasks would be crashed together once more,
-        and the crash would again say as much against each.
+        All tasks that a worker crash ended become startable at the same moment. Started
+        together on one worker, they would crash together again, and that crash would
+        again count equally against each.
         """
         if not self._trial_ids:
             return workers
@@ -241,7 +242,7 @@
         """Start tasks of a step.
 
         Args:
-          indexes: A sorted list of the tasks that may start now.
+          indexes: A sorted list of the indexes of tasks that may start now.
         Returns:
           An int, how many were started.
         """
@@ -284,14 +285,14 @@
 
 
 def order_for_pass(ready, resumed_at, rank):
-    """Order steps for a round: the foremost, then from where the last one ended.
+    """Order steps for a pass: the top-ranked, then on from where the last pass ended.
 
-    Between these go some steps about which advice has come since their last turn.
+    Some steps with new advice since their last turn go between the two.
 
     Args:
-      ready: A list of pairs of a job and a step, by their rank.
-      resumed_at: A pair of a rank and a step, the first that the last round did not
-        come to; None if it came to all.
+      ready: A list of pairs of a job and a step, sorted by rank.
+      resumed_at: A pair of a rank and a step, the first that the last pass did not
+        reach; None if it reached all.
       rank: A callable that ranks a pair.
     Returns:
       A list of the pairs.
@@ -300,7 +301,8 @@
         return ready
     at, resumed = resumed_at
     begin = bisect.bisect_left(ready, at, lo=TOP_RANKED_STEPS, key=rank)
-    # The steps of a job have one rank; one that is not ready any more is passed over.
+    # All steps of a job share one rank. If the step to resume at is no longer ready,
+    # the first of that rank is next.
     for number in range(begin, len(ready)):
         if rank(ready[number]) != at:
             break
--- a/thornport/cell/decisions/placing.py
+++ b/thornport/cell/decisions/placing.py
@@ -1,4 +1,7 @@
-"""Where the tasks of a step go: pure, and without any order of steps."""
+"""Assigns the tasks of one step to workers.
+
+Pure functions; the order in which steps are placed is decided in `passes`.
+"""
 
 import heapq
 
@@ -9,20 +12,20 @@
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """A task index and the worker that it goes to."""
+    """The index of a task and the worker that it is assigned to."""
 
     index: int
     worker_id: str
 
 
 class Place(msgspec.Struct, order=True):
-    """Room at a worker for a task; the lowest is the best.
+    """Free room on a worker for a task; the lowest place is the best.
 
     Attributes:
-      preference: What `compute_preference` gives.
-      rank: What `Demand.rank_room` gives of the room.
-      worker_id: A str, which no other place of a heap has.
-      free: Demand, the room.
+      preference: The result of `compute_preference`.
+      rank: The result of `Demand.rank_room` for the free room.
+      worker_id: A str, unique within a heap.
+      free: Demand, the free room.
     """
 
     preference: tuple
@@ -32,12 +35,12 @@
 
 
 class Candidates:
-    """The workers that steps of one kind may use, and the most room of any.
+    """The workers that steps of one kind may use, and the maximum of their free room.
 
     Attributes:
       has_suspects: Whether suspect workers are among them.
       workers: A list of model.Worker.
-      by_id: The same by worker id.
+      by_id: The same workers by worker id.
     """
 
     __slots__ = (
@@ -51,7 +54,7 @@
     )
 
     def __init__(self, workers, has_suspects=False):
-        """Look at the room of each once.
+        """Compute the maximum free room of the workers.
 
         Args:
           workers: A list of model.Worker.
@@ -68,7 +71,7 @@
 
     @property
     def median_total(self):
-        """Demand, what the worker in the middle has by its cores."""
+        """Demand, the total of the median worker by cores."""
         if self._median_total is None:
             totals = sorted(
                 (worker.entry.total for worker in self.workers),
@@ -80,10 +83,10 @@
 
     @property
     def used_share(self):
-        """A float, the share that is in use of the resource that has least left.
+        """The used share of the scarcest resource, a float.
 
-        Of all workers, or of those that answer if that is less: what others seem to run
-        may be lost.
+        It is the lower of the shares of all workers and of those that answer: runs on
+        silent workers may already be lost.
         """
         if self._used_share is None:
             answering = [w for w in self.workers if w.silent_since is None]
@@ -95,16 +98,16 @@
         return self._used_share
 
     def sum_room(self):
-        """Sum the room of all workers, as the function of this name does."""
+        """Sum the room of all workers; see the function `sum_room`."""
         return sum_room(self.workers)
 
     def may_fit(self, demand):
-        """Tell whether a task could fit, by the most room that there was.
+        """Tell whether a task could fit, by the maximum free room when listed.
 
         Args:
           demand: A spec.Demand.
         Returns:
-          A bool; true does not mean that one worker has room for all of it.
+          A bool; true does not mean that a single worker has enough of each resource.
         """
         return (
             demand.millicores <= self._millicores
@@ -113,14 +116,14 @@
 
 
 def sum_room(workers):
-    """Sum the room of some workers.
+    """Sum the total and used resources of workers.
 
     Args:
       workers: A list of model.Worker.
     Returns:
-      A pair of spec.Demand: what they have, and what of it is in use.
+      A pair of spec.Demand: their total, and what of it is in use.
     """
-    # Plain sums: a Demand for each worker takes several times as long.
+    # Adding plain ints is several times as fast as adding a Demand for each worker.
     cores = memory = accelerators = 0
     used_cores = used_memory = used_accelerators = 0
     for worker in workers:
@@ -141,13 +144,13 @@
 
     Args:
       step: A model.StepState.
-      workers: A list of model.Worker that may run it now.
-      reserved: A reserving.Reservations of room that is kept for steps before it.
-      wants_fast: Whether it is urgent, and gets the fastest that have room;
-        others leave those free.
+      workers: A list of model.Worker that may run the step now.
+      reserved: A reserving.Reservations with the room reserved for other steps.
+      wants_fast: Whether the step is urgent and prefers the fastest workers; other
+        steps prefer the slowest.
       indexes: A sorted list of the waiting tasks that may start; None for all.
     Returns:
-      A list of Assignment; for a gang, of all its tasks or of none.
+      A list of Assignment; for a gang, either all its tasks or none.
     """
     if not step.spec.gang:
         return assign_tasks(step, workers, reserved, wants_fast, indexes)
@@ -164,7 +167,7 @@
 
 
 def assign_tasks(step, workers, reserved, wants_fast=False, indexes=None):
-    """Assign waiting tasks, each to the best worker that has room.
+    """Assign each waiting task to the best worker that has room.
 
     Args:
       step: A model.StepState.
@@ -175,14 +178,14 @@
     """
     demand = step.spec.demand
     limit = step.spec.max_per_worker or step.spec.count
-    live_by_id = count_live_by_worker(step) if step.spec.max_per_worker else {}
+    live_count_by_id = count_live_by_worker(step) if step.spec.max_per_worker else {}
     places = []
     for worker in workers:
         free = reserved.compute_usable_room(step, worker)
-        # The workers were listed before others of this round were placed.
+        # Tasks placed earlier in this pass may have used the room since the listing.
         if not demand.fits(free) or eligibility.disturbs(step, worker):
             continue
-        if live_by_id.get(worker.worker_id, 0) < limit:
+        if live_count_by_id.get(worker.worker_id, 0) < limit:
             preference = compute_preference(step, worker, wants_fast)
             places.append(Place(preference, free.rank_room(), worker.worker_id, free))
     heapq.heapify(places)
@@ -192,22 +195,24 @@
         if best is None:
             break
         assigned.append(Assignment(index, best.worker_id))
-        held = live_by_id[best.worker_id] = live_by_id.get(best.worker_id, 0) + 1
+        live_count = live_count_by_id[best.worker_id] = (
+            live_count_by_id.get(best.worker_id, 0) + 1
+        )
         left = best.free.subtract(demand)
-        if held < limit and demand.fits(left):
+        if live_count < limit and demand.fits(left):
             place = Place(best.preference, left.rank_room(), best.worker_id, left)
             heapq.heappush(places, place)
     return assigned
 
 
 def pop_best(places, avoided):
-    """Take the best place for one task.
+    """Pop the best place for one task.
 
     Args:
       places: A heap of Place.
-      avoided: Ids of workers on which the task failed: only if no other is left.
+      avoided: Ids of workers on which the task failed, used only if no other is left.
     Returns:
-      A Place, or None when there is none.
+      A Place, or None if the heap is empty.
     """
     skipped = []
     best = None
@@ -226,22 +231,23 @@
 
 def count_live_by_worker(step):
     """Count the live runs of a step by worker id."""
-    live_by_id = {}
+    live_count_by_id = {}
     for run in step.live_by_index.values():
-        live_by_id[run.worker_id] = live_by_id.get(run.worker_id, 0) + 1
-    return live_by_id
+        live_count_by_id[run.worker_id] = live_count_by_id.get(run.worker_id, 0) + 1
+    return live_count_by_id
 
 
 def compute_preference(step, worker, wants_fast):
-    """Say how well a worker suits a step, whatever its room.
+    """Rate how well a worker suits a step, regardless of its free room.
 
     Args:
       step: A model.StepState.
       worker: A model.Worker.
       wants_fast: As for `assign_step`.
     Returns:
-      A triple that is lower for a better worker: what a crash of it would cost, if
-      the step may crash it; away from the step's data or not; then its pace.
+      A triple that is lower for a better worker: the cores in use that a crash would
+      put at risk, if the step may crash the worker; whether the worker is away from
+      the step's data; its pace.
     """
     is_away = bool(step.spec.near_rack) and step.spec.near_rack != worker.entry.rack
     grade = worker.grade_pace()
@@ -250,24 +256,24 @@
 
 
 def has_room(step, workers, reserved, tasks=0):
-    """Tell whether tasks of a step could start: all of a gang, or any.
+    """Tell whether tasks of a step could start: all of a gang, else at least one.
 
     Args:
       step: A model.StepState.
       workers: A list of model.Worker.
       reserved: As for `assign_step`.
-      tasks: An int, how many of them; 0 for as many as must start together.
+      tasks: An int, how many must fit; 0 for as many as must start together.
     Returns:
       A bool.
     """
     wanted = tasks or (step.spec.count if step.spec.gang else 1)
     limit = step.spec.max_per_worker or step.spec.count
-    live_by_id = count_live_by_worker(step) if step.spec.max_per_worker else {}
+    live_count_by_id = count_live_by_worker(step) if step.spec.max_per_worker else {}
     places = 0
     for worker in workers:
         if eligibility.disturbs(step, worker):
             continue
-        most = limit - live_by_id.get(worker.worker_id, 0)
+        most = limit - live_count_by_id.get(worker.worker_id, 0)
         free = reserved.compute_usable_room(step, worker)
         places += step.spec.demand.count_in(free, most)
         if places >= wanted:
@@ -276,12 +282,12 @@
 
 
 def count_places(step, workers, times=1):
-    """Count the tasks of a step that workers could hold if nothing else ran there.
+    """Count the tasks of a step that would fit on workers if they were empty.
 
     Args:
       step: A model.StepState.
       workers: A list of model.Worker.
-      times: An int, how many times the tasks of the step count at most.
+      times: An int; the count is capped at this many times the step's tasks.
     Returns:
       An int.
     """
--- a/thornport/cell/decisions/reserving.py
+++ b/thornport/cell/decisions/reserving.py
@@ -1,9 +1,9 @@
-"""Room that is kept for wide steps: pure, made anew in each round.
+"""Reserves room for wide steps, anew in each scheduling pass: pure.
 
-A task that needs much of a worker never finds it free while smaller tasks take each
-piece of room as it comes. So the foremost wide steps that wait get the workers on
-which they could start soonest, by how far the runs there have come. Steps behind them
-start there only if they are expected to be over by then, or fit beside.
+Without reservations, wide tasks starve: smaller tasks take each piece of room as soon
+as it is freed. So the highest-ranked waiting wide steps reserve the workers on which
+they are expected to start soonest, by the progress of the runs there. Lower-ranked
+steps are backfilled there only if they are expected to end by then, or fit beside.
 """
 
 import math
@@ -13,25 +13,26 @@
 from thornport.cell.decisions import placing
 from thornport.jobs import spec
 
-# A task of a quarter of a worker's room or more is wide: smaller ones find their room
-# as tasks end.
+# A task that needs at least this share of a worker is wide. Smaller ones find room as
+# other tasks end.
 WIDE_SHARE = 0.25
-# Wide steps that get workers in a round: the rest of a small cell stays for others.
+# Wide steps that reserve workers in a pass. The limit leaves the rest of a small cell
+# to other steps.
 MAX_RESERVING_STEPS = 8
-# Wide steps that are tried for it, to bound the time of a round: of many that no worker
-# may run, or that wait for their advice, the first would be tried in each round.
+# Wide steps that are tried in a pass, to bound its time when many of them can't reserve
+# anything, because no worker may run them or they wait for advice.
 MAX_TRIED_STEPS = 40
-# A run that should be over by its estimate is taken to end within this share of it.
+# A run past its estimated duration is expected to end after this share of it.
 OVERDUE_SHARE = 0.25
-STOPPING_S = 0.3  # a stop takes some tenths of a second
+STOPPING_S = 0.3  # expected duration of a stop
 
 
 class Reservation(msgspec.Struct):
-    """A worker's room that is kept.
+    """A reservation of a worker's room for a step.
 
     Attributes:
-      starts_at: A float, when the step that it is kept for is expected to start.
-      spare: Demand, what will be left beside it then.
+      starts_at: A float, when the step is expected to start.
+      spare: Demand, the room that will be left beside the step then.
     """
 
     starts_at: float
@@ -39,14 +40,14 @@
 
 
 class Release(msgspec.Struct, frozen=True):
-    """Room that a run gives back when it ends, as expected."""
+    """The room that a run releases, and when it is expected to."""
 
     at: float
     demand: spec.Demand
 
 
 class Reservations:
-    """The room that is kept in one round."""
+    """The reservations of one scheduling pass."""
 
     __slots__ = (
         "_exempt_step",
@@ -58,7 +59,7 @@
     )
 
     def __init__(self, now):
-        """Begin with nothing kept.
+        """Begin without reservations.
 
         Args:
           now: A float.
@@ -71,15 +72,15 @@
         self._exempt_step = None
 
     def may_reserve(self):
-        """Whether a further step may get workers."""
+        """Whether another step may try to reserve workers."""
         return self._step_count < MAX_RESERVING_STEPS and self._tried < MAX_TRIED_STEPS
 
     def count_try(self):
-        """Count a step that may get workers."""
+        """Count a step that tries to reserve workers."""
         self._tried += 1
 
     def exempt(self, step):
-        """Let a step use the room that is kept for others; one step at a time.
+        """Let one step at a time use the room that is reserved for others.
 
         Args:
           step: A model.StepState; None for none.
@@ -87,7 +88,7 @@
         self._exempt_step = step
 
     def compute_usable_room(self, step, worker):
-        """Say what room of a worker a step may use now.
+        """Compute the room on a worker that a step may use now.
 
         Args:
           step: A model.StepState.
@@ -96,50 +97,53 @@
           A spec.Demand.
         """
         free = worker.compute_free()
-        kept = self._reservation_by_worker.get(worker.worker_id)
-        if kept is None or step is self._exempt_step:
+        reservation = self._reservation_by_worker.get(worker.worker_id)
+        if reservation is None or step is self._exempt_step:
             return free
-        if self._is_over_by(step, worker, kept.starts_at):
+        if self._ends_by(step, worker, reservation.starts_at):
             return free
-        return free.limit(kept.spare)
+        return free.limit(reservation.spare)
 
     def note_placed(self, step, worker):
-        """Take that a task of a step is placed at a worker.
+        """Record that a task of a step was placed on a worker.
 
         Args:
           step: A model.StepState.
           worker: A model.Worker.
         """
-        kept = self._reservation_by_worker.get(worker.worker_id)
-        if kept is None or self._is_over_by(step, worker, kept.starts_at):
+        reservation = self._reservation_by_worker.get(worker.worker_id)
+        if reservation is None or self._ends_by(step, worker, reservation.starts_at):
             return
-        kept.spare = kept.spare.subtract(step.spec.demand)
+        reservation.spare = reservation.spare.subtract(step.spec.demand)
 
-    def _is_over_by(self, step, worker, at):
+    def _ends_by(self, step, worker, at):
         if step.spec.lasting:
             return False
         return self._now + estimate_s(step.spec, worker) <= at
 
     def reserve(self, step, workers):
-        """Keep room for the waiting tasks of a step where they can start soonest.
+        """Reserve room for the waiting tasks of a step where they can start soonest.
+
+        Room is reserved for all tasks of a gang, else for one task.
 
         Args:
           step: A model.StepState.
-          workers: A list of model.Worker that may run it.
+          workers: A list of model.Worker that may run the step.
         Returns:
-          A float, when it is expected to start: a gang with all its tasks, others with
-          the first; None when these workers never have the room.
+          A float, when the step is expected to start: a gang with all its tasks, others
+          with the first; None if these workers will never have the room.
         """
         places = []
-        # Kept for more than may be there, room is idle until the step's own tasks end.
-        live_by_id = (
+        # Room reserved beyond the step's limit per worker would be idle until its own
+        # tasks there end.
+        live_count_by_id = (
             placing.count_live_by_worker(step) if step.spec.max_per_worker else {}
         )
         for worker in workers:
             if worker.worker_id in self._reservation_by_worker:
                 continue
-            held = live_by_id.get(worker.worker_id, 0)
-            times = self._list_place_times(step, worker, held)
+            live_count = live_count_by_id.get(worker.worker_id, 0)
+            times = self._list_place_times(step, worker, live_count)
             places += [(at, worker.worker_id) for at in times]
         places.sort()
         wanted = len(step.waiting) if step.spec.gang else 1
@@ -151,11 +155,11 @@
             count_by_worker[worker_id] = count_by_worker.get(worker_id, 0) + 1
         by_id = {worker.worker_id: worker for worker in workers}
         for worker_id, count in count_by_worker.items():
-            self._keep_room(step, by_id[worker_id], count, starts_at)
+            self._reserve_room(step, by_id[worker_id], count, starts_at)
         self._step_count += 1
         return starts_at
 
-    def _keep_room(self, step, worker, count, starts_at):
+    def _reserve_room(self, step, worker, count, starts_at):
         spare = worker.compute_free()
         for release in self._list_releases(worker):
             if release.at <= starts_at:
@@ -164,19 +168,20 @@
             spare = spare.subtract(step.spec.demand)
         self._reservation_by_worker[worker.worker_id] = Reservation(starts_at, spare)
 
-    def _list_place_times(self, step, worker, held):
-        """List when a worker has room for the first task, for a second one and so on.
+    def _list_place_times(self, step, worker, live_count):
+        """List when a worker will have room for a first task, a second one and so on.
 
         Args:
           step: A model.StepState.
           worker: A model.Worker.
-          held: An int, tasks of the step that are there, if they keep apart.
+          live_count: An int, live tasks of the step on the worker; 0 if the step has
+            no limit per worker.
         Returns:
-          A list of floats that rise, as many as there are waiting tasks at most.
+          A list of ascending floats, at most one per waiting task.
         """
         demand = step.spec.demand
         limit = step.spec.max_per_worker or len(step.waiting)
-        most = min(len(step.waiting), limit - held)
+        most = min(len(step.waiting), limit - live_count)
         times = []
         free = worker.compute_free()
         at = self._now
@@ -194,7 +199,7 @@
         return times
 
     def _list_releases(self, worker):
-        """List the Releases of a worker's runs, the soonest first."""
+        """List the Releases expected of a worker's runs, the soonest first."""
         releases = self._releases_by_worker.get(worker.worker_id)
         if releases is None:
             releases = sorted(
@@ -210,13 +215,13 @@
 
 
 def is_wide(step, median_total):
-    """Tell whether a step needs room to be kept for it.
+    """Tell whether a step needs reserved room to start.
 
     Args:
       step: A model.StepState.
-      usual_total: Demand, what a worker that may run it usually has.
+      median_total: Demand, the total of the median worker that may run the step.
     Returns:
-      A bool; true of gangs, and of tasks that take much of a worker.
+      A bool; true for gangs and for tasks that need a large share of a worker.
     """
     if step.spec.lasting:
         return False
@@ -226,26 +231,26 @@
 
 
 def estimate_s(step_spec, worker):
-    """Estimate how long a task takes at a worker.
+    """Estimate how long a task takes on a worker.
 
     Args:
       step_spec: A spec.Step.
       worker: A model.Worker.
     Returns:
-      A float, seconds, by the job's own guess and the worker's pace.
+      A float, seconds, from the job's own estimate and the worker's pace.
     """
     return step_spec.estimate_ms / 1000 * math.exp(worker.pace_log)
 
 
 def predict_end(run, worker, now):
-    """Say when a run is expected to end.
+    """Predict when a run ends.
 
     Args:
       run: A model.Run.
-      worker: The model.Worker that it is at.
+      worker: The model.Worker that it runs on.
       now: A float.
     Returns:
-      A float, by its progress, or by its estimate while there is none.
+      A float, from the run's reported progress, or from its estimate before any.
     """
     if run.stop_due_at:
         return now + STOPPING_S
--- a/thornport/cell/decisions/reserving_test.py
+++ b/thornport/cell/decisions/reserving_test.py
@@ -1,4 +1,4 @@
-"""Room that is kept for wide steps, and who may use it meanwhile."""
+"""Room reserved for wide steps, and which other steps may use it."""
 
 import unittest
 
@@ -13,20 +13,20 @@
 
 
 def make_worker(worker_id="w1"):
-    """Make a worker that answered a moment ago."""
+    """Make a worker that has just answered."""
     entry = messages.WorkerEntry(worker_id, "a:1", "solver", "h", READY, ROOM)
     return model.Worker(entry, 0.0, is_heard=True, heard_at=NOW)
 
 
 def make_step(demand, count=1, estimate_ms=1000, **more):
-    """Make a step that waits."""
+    """Make a step whose tasks all wait."""
     key = messages.StepKey("job", 0, 0)
     step = spec.Step(count, demand, estimate_ms, **more)
     return model.StepState(key, step, waiting=set(range(count)))
 
 
 def add_run(worker, demand, ordered_at, estimate_ms, percent=0):
-    """Let a run be live at a worker."""
+    """Add a live run to a worker."""
     key = messages.TaskKey("other", 0, 0, len(worker.runs_by_key))
     step = spec.Step(1, demand, estimate_ms)
     run = model.Run(key, 1, worker.worker_id, step, model.RunState.RUNNING, ordered_at)
@@ -35,24 +35,24 @@
 
 
 class Reserve(unittest.TestCase):
-    """One round with a wide step in front."""
+    """A wide step reserves room in one scheduling pass."""
 
     def setUp(self):
         self.reserved = reserving.Reservations(NOW)
         self.worker = make_worker()
 
-    def test_wide_step_starts_when_enough_has_ended(self):
+    def test_wide_step_starts_when_enough_runs_have_ended(self):
         add_run(self.worker, SMALL, NOW, 500)
         add_run(self.worker, SMALL, NOW, 3000)
         starts_at = self.reserved.reserve(make_step(WHOLE), [self.worker])
         self.assertAlmostEqual(starts_at, NOW + 3.0)
 
-    def test_progress_counts_before_the_estimate(self):
+    def test_progress_takes_precedence_over_the_estimate(self):
         add_run(self.worker, SMALL, NOW - 2.0, 3000, percent=50)
         starts_at = self.reserved.reserve(make_step(WHOLE), [self.worker])
         self.assertAlmostEqual(starts_at, NOW + 2.0)
 
-    def test_soonest_worker_is_kept(self):
+    def test_worker_with_the_soonest_start_is_reserved(self):
         other = make_worker("w2")
         add_run(self.worker, SMALL, NOW, 3000)
         add_run(other, SMALL, NOW, 1000)
@@ -67,7 +67,7 @@
         )
         self.assertEqual(room.accelerators, 7)
 
-    def test_task_that_ends_before_may_use_the_room(self):
+    def test_task_that_ends_before_the_start_may_use_the_room(self):
         add_run(self.worker, SMALL, NOW, 3000)
         self.reserved.reserve(make_step(WHOLE), [self.worker])
         room = self.reserved.compute_usable_room(
@@ -75,7 +75,7 @@
         )
         self.assertEqual(room.accelerators, 7)
 
-    def test_task_that_fits_beside_may_use_what_is_spare(self):
+    def test_task_that_fits_beside_may_use_the_spare_room(self):
         add_run(self.worker, spec.Demand(8_000, 16_000, 2), NOW, 3000)
         most = spec.Demand(30_000, 40_000, 7)
         self.reserved.reserve(make_step(most), [self.worker])
@@ -86,7 +86,7 @@
         room = self.reserved.compute_usable_room(late, self.worker)
         self.assertEqual(room.accelerators, 0)
 
-    def test_gang_that_its_workers_never_hold_keeps_nothing(self):
+    def test_gang_that_never_fits_reserves_nothing(self):
         gang = make_step(WHOLE, count=2, gang=True)
         self.assertIsNone(self.reserved.reserve(gang, [self.worker]))
         room = self.reserved.compute_usable_room(
@@ -94,20 +94,20 @@
         )
         self.assertEqual(room, ROOM)
 
-    def test_lasting_runs_never_give_their_room_back(self):
+    def test_lasting_runs_are_not_expected_to_release_room(self):
         key = messages.TaskKey("other", 0, 0, 0)
         lasting = spec.Step(1, SMALL, 10, lasting=True)
         run = model.Run(key, 1, "w1", lasting, model.RunState.RUNNING, NOW)
         self.worker.add_run(run)
         self.assertIsNone(self.reserved.reserve(make_step(WHOLE), [self.worker]))
 
-    def test_only_wide_steps_have_room_kept(self):
+    def test_only_gangs_and_large_tasks_are_wide(self):
         self.assertTrue(reserving.is_wide(make_step(WHOLE), ROOM))
         self.assertTrue(reserving.is_wide(make_step(SMALL, 2, gang=True), ROOM))
         self.assertFalse(reserving.is_wide(make_step(SMALL, 9), ROOM))
         self.assertFalse(reserving.is_wide(make_step(WHOLE, lasting=True), ROOM))
 
-    def test_steps_that_never_get_room_bound_the_round(self):
+    def test_tries_to_reserve_are_limited_per_pass(self):
         for _ in range(reserving.MAX_TRIED_STEPS):
             self.assertTrue(self.reserved.may_reserve())
             self.reserved.count_try()
@@ -121,7 +121,7 @@
 
 
 class Tickets(unittest.TestCase):
-    """A wide step that needs a ticket, at a worker that is full."""
+    """A wide step that needs a ticket waits for a worker that is full."""
 
     def setUp(self):
         self.now = NOW
@@ -134,14 +134,14 @@
         self.core.take_poll(request, self.now, answer, self.now)
         self.core.callers.greet("p", "b:1", True, 1.0, self.now)
 
-    def submit(self, job_id, kept_queue, demand, estimate_ms):
-        """Take an accepted job of one task, and place."""
+    def submit(self, job_id, job_queue, demand, estimate_ms):
+        """Take an accepted job of one task, and run a scheduling pass."""
         job = spec.Job("text", (spec.Step(1, demand, estimate_ms),))
-        self.core.take_job(record.JobRecord(job_id, kept_queue, job, 0), self.now)
+        self.core.take_job(record.JobRecord(job_id, job_queue, job, 0), self.now)
         return self.place()
 
     def place(self):
-        """Do a round; the orders."""
+        """Run a scheduling pass and return its commands."""
         self.core.callers.greet("p", "b:1", True, 1.0, self.now)
         self.core.place(self.now)
         batch = self.core.make_batch()
@@ -160,7 +160,7 @@
         (renewal,) = self.place()
         self.assertEqual(renewal.request, call.request)
 
-    def test_small_task_behind_does_not_take_the_room(self):
+    def test_lower_ranked_task_that_ends_late_does_not_take_the_room(self):
         self.submit("s", SMALL_QUEUE, SMALL, 4000)
         (call,) = self.submit("w", WIDE_QUEUE, WHOLE, 4000)
         answer = messages.AdviceAnswer((messages.Ticket("w1", "t"),), 2000)
--- a/thornport/cell/decisions/shares.py
+++ b/thornport/cell/decisions/shares.py
@@ -1,39 +1,39 @@
-"""Whose work goes first when not all can be served: pure.
+"""Decides which jobs are within the weight of their workspace: pure.
 
-A workspace pays for a number of jobs a second, its weight. What it sends beyond that
-goes behind the owed work of the same priority, and is served once that has its room: in
-a cell with room nothing waits for it, and nothing of it is refused.
+A workspace pays for a number of jobs a second, its weight; jobs within it are owed.
+Jobs beyond the weight rank behind the owed jobs of the same priority and get the room
+that those leave. In a cell with free room they do not wait; they are never refused.
 """
 
 from thornport.kernel import clock
 
-# Jobs beyond the weight are owed nevertheless if over so long a time they are not: the
-# users count shares over 5 s, and callers come in bunches.
+# Bursts beyond the weight are owed as long as the rate over this window is within it:
+# users count shares over 5 s, and jobs arrive in bursts.
 WINDOW_S = 5.0
 
 
 class Shares:
-    """What each workspace has sent of late, against its weight.
+    """Compares the jobs that each workspace sent recently with its weight.
 
-    A job uses one part of its workspace's weight, which comes back with time; a
-    workspace that is more than WINDOW_S ahead of it sends work that is not owed.
+    Each owed job uses 1 / weight seconds of its workspace's time. Jobs of a workspace
+    that is more than WINDOW_S ahead of the clock are not owed.
 
     Attributes:
-      weight_by_name: Floats by the name of the workspace, of those that have one.
+      weight_by_name: Floats by workspace name, for the workspaces that have a weight.
     """
 
     __slots__ = ("_paid_until_by_name", "weight_by_name")
 
     def __init__(self):
-        """Begin with no weights: all is owed."""
+        """Begin without weights: all jobs are owed."""
         self.weight_by_name = {}
         self._paid_until_by_name = {}
 
     def set_weights(self, workspaces):
-        """Take the weights of a version of the configuration.
+        """Set the weights from a version of the configuration.
 
         Args:
-          workspaces: A workspace.Workspaces, or None where there are none.
+          workspaces: A workspace.Workspaces, or None if there are none.
         """
         by_name = workspaces.by_name if workspaces is not None else {}
         self.weight_by_name = {
@@ -41,16 +41,16 @@
         }
 
     def charge_job(self, name, accepted_at_ms):
-        """Take that a job was accepted, and tell whether it is owed.
+        """Charge an accepted job to its workspace and tell whether it is owed.
 
-        Times of acceptance are of the clocks of many VMs, so they need not rise. A
-        successor that reads the records comes to the same.
+        Acceptance times come from the clocks of many VMs, so they may go backwards. A
+        successor that reads the records gets the same results.
 
         Args:
-          name: A str, its workspace; empty if it is nobody's.
+          name: A str, the workspace; empty if the job has none.
           accepted_at_ms: An int, milliseconds since 1970.
         Returns:
-          A bool; true where no weight is known.
+          A bool; true if the workspace has no weight.
         """
         weight = self.weight_by_name.get(name)
         if weight is None:
@@ -58,7 +58,8 @@
         at = accepted_at_ms / clock.MS_PER_S
         paid_until = max(at, self._paid_until_by_name.get(name, at))
         if paid_until - at > WINDOW_S:
-            # It uses nothing of what comes back, or none would ever be owed again.
+            # Jobs that are not owed are not charged: else a workspace that stays above
+            # its weight would never have an owed job again.
             return False
         self._paid_until_by_name[name] = paid_until + 1 / weight
         return True
--- a/thornport/cell/decisions/usage.py
+++ b/thornport/cell/decisions/usage.py
@@ -1,9 +1,9 @@
-"""What each workspace has running in the cell, and how much more it may start: pure.
+"""Tracks what each workspace runs in the cell against its limit: pure.
 
-A run counts from the decision to start it until it is surely over, at whichever worker
-and by whichever owner it was started: what is being kept, ordered, stopped or in doubt
-counts in full. A run is taken in and out by itself, so an end that is told twice takes
-nothing away twice.
+A run counts from the decision to start it until it is certainly over, on any worker
+and whichever owner started it. Runs that are being recorded, commanded to start or
+stopped, and runs in doubt, count in full. Each run is added and removed once, so an end
+that is reported twice is subtracted once.
 """
 
 from thornport.jobs import spec, workspace
@@ -12,30 +12,30 @@
 
 
 class Usage:
-    """The sums over the runs that may be live, by workspace.
+    """Sums the demands of the runs that may be live, by workspace.
 
     Attributes:
-      used_by_name: Demand by the name of the workspace.
+      used_by_name: Demand by workspace name.
     """
 
     __slots__ = ("_limits_by_name", "_names_by_run", "used_by_name")
 
     def __init__(self):
-        """Begin with no run and no limit."""
+        """Begin without runs and limits."""
         self.used_by_name = {}
         self._names_by_run = {}
         self._limits_by_name = {}
 
     def set_limits(self, workspaces, overshoot):
-        """Take the limits of a version of the configuration.
+        """Set the limits from a version of the configuration.
 
-        What runs goes on where a limit falls; nothing starts until there is room. Work
+        Lowering a limit stops no runs, but nothing starts until usage is below it. Jobs
         of a workspace that the version does not name, accepted under an earlier one,
-        goes on without a limit.
+        continue without a limit.
 
         Args:
-          workspaces: A workspace.Workspaces, or None where there are none.
-          overshoot: A float, by what share of it a limit may be passed.
+          workspaces: A workspace.Workspaces, or None if there are none.
+          overshoot: A float, the share of a limit by which it may be exceeded.
         """
         by_name = workspaces.by_name if workspaces is not None else {}
         self._limits_by_name = {
@@ -47,7 +47,7 @@
 
         Args:
           run: A model.Run.
-          name: A str, the workspace whose job it is of; empty if it is nobody's.
+          name: A str, the workspace of its job; empty if it has none.
         """
         if not name or run in self._names_by_run:
             return
@@ -56,14 +56,14 @@
         self.used_by_name[name] = used.add(run.demand)
 
     def remove(self, run):
-        """Take that a run, a model.Run, is surely over."""
+        """Stop counting a model.Run that is certainly over."""
         name = self._names_by_run.pop(run, None)
         if name is not None:
             used = self.used_by_name[name].subtract(run.demand)
             self.used_by_name[name] = used
 
     def list_names(self):
-        """The names of workspaces with a limit or a run, a set of str."""
+        """List the names of workspaces that have a limit or had a run, a set of str."""
         return self._limits_by_name.keys() | self.used_by_name.keys()
 
     def read_limit(self, name):
@@ -71,12 +71,12 @@
         return self._limits_by_name.get(name)
 
     def compute_left(self, name):
-        """Compute what a workspace may start beside what it has running.
+        """Compute what a workspace may start in addition to its live runs.
 
         Args:
           name: A str, as for `add`.
         Returns:
-          Demand, negative where a limit fell below what runs; None if there is no
+          Demand, negative where usage exceeds a limit that was lowered; None without a
           limit.
         """
         limit = self._limits_by_name.get(name)
@@ -85,7 +85,7 @@
         return limit.subtract(self.used_by_name.get(name, NOTHING))
 
     def is_over_limit(self, name):
-        """Tell whether what runs of a workspace is over its limit, as where that fell.
+        """Tell whether a workspace uses more than its limit, as after this was lowered.
 
         Args:
           name: A str, as for `add`.
@@ -98,14 +98,14 @@
     def count_startable(self, step, name):
         """Count the waiting tasks of a step that its workspace may start now.
 
-        Nothing of a limit is kept for a gang that waits for more of it: less of the
-        limit would be used, and no more of the gangs be in time.
+        No part of a limit is reserved for a gang that waits for it: less of the limit
+        would be used, and no more gangs would be in time.
 
         Args:
           step: A model.StepState.
           name: A str, the workspace.
         Returns:
-          An int; of a gang all or none.
+          An int; for a gang, either all its tasks or 0.
         """
         waiting = len(step.waiting)
         left = self.compute_left(name)
@@ -116,10 +116,10 @@
 
 
 def widen(limit, overshoot):
-    """Widen a limit by a share of it.
+    """Raise a limit by a share of it.
 
     Args:
-      limit: Demand; UNLIMITED resources stay so.
+      limit: Demand; UNLIMITED resources stay unlimited.
       overshoot: A float.
     Returns:
       A spec.Demand.
@@ -134,14 +134,14 @@
 
 
 def widen_part(part, overshoot):
-    """Widen the limit of one resource; an int."""
+    """Raise the limit of one resource, an int."""
     if part >= workspace.UNLIMITED:
         return part
     return int(part * (1 + overshoot))
 
 
-def is_too_wide(step, limit):
-    """Tell whether what must start together of a step is more than a limit.
+def exceeds_limit(step, limit):
+    """Tell whether the tasks of a step that start together exceed a limit.
 
     Args:
       step: A model.StepState.
--- a/thornport/cell/decisions/usage_test.py
+++ b/thornport/cell/decisions/usage_test.py
@@ -1,4 +1,4 @@
-"""What a workspace may start, by what it has running."""
+"""Limits and weights of workspaces: what may start, and which jobs are owed."""
 
 import unittest
 
@@ -22,7 +22,7 @@
 
 
 class Limits(unittest.TestCase):
-    """A workspace with a limit of cores, and one of memory."""
+    """Workspaces with a limit of cores, a limit of memory, and none."""
 
     def setUp(self):
         none = workspace.UNLIMITED
@@ -37,18 +37,18 @@
         self.usage.set_limits(self.workspaces, 0.0)
 
     def count(self, name, count=9, gang=False):
-        """How many tasks of a step a workspace may start."""
+        """Count the tasks of a step that a workspace may start."""
         return self.usage.count_startable(make_step(count, gang), name)
 
     def test_each_resource_limits(self):
         counts = [self.count(name) for name in ("cores", "memory", "free", "")]
         self.assertEqual(counts, [3, 2, 9, 9])
 
-    def test_gang_starts_whole_or_not(self):
+    def test_gang_starts_whole_or_not_at_all(self):
         self.assertEqual(self.count("cores", 3, gang=True), 3)
         self.assertEqual(self.count("cores", 4, gang=True), 0)
 
-    def test_run_counts_until_it_is_over_and_is_taken_out_once(self):
+    def test_run_is_counted_once_and_removed_once(self):
         runs = [make_run(index) for index in range(3)]
         for run in (*runs, runs[0]):
             self.usage.add(run, "cores")
@@ -57,7 +57,7 @@
             self.usage.remove(runs[0])
         self.assertEqual(self.count("cores"), 1)
 
-    def test_limit_below_what_runs_lets_nothing_start(self):
+    def test_nothing_starts_while_usage_exceeds_the_limit(self):
         for index in range(3):
             self.usage.add(make_run(index), "cores")
         low = spec.Demand(5_000, 1, 1)
@@ -67,22 +67,22 @@
         self.usage.set_limits(workspace.Workspaces([]), 0.0)
         self.assertEqual(self.count("cores"), 9)
 
-    def test_overshoot_widens_a_limit_and_not_what_has_none(self):
+    def test_overshoot_raises_limits_but_not_unlimited_resources(self):
         self.usage.set_limits(self.workspaces, 0.25)
         limit = self.usage.read_limit("cores")
         none = workspace.UNLIMITED
         self.assertEqual(limit, spec.Demand(16_250, none, none))
         self.assertEqual(self.count("cores"), 4)
 
-    def test_step_that_can_never_start_is_told_from_one_that_waits(self):
+    def test_only_a_gang_larger_than_the_limit_exceeds_it(self):
         limit = self.usage.read_limit("cores")
-        self.assertTrue(usage.is_too_wide(make_step(4, gang=True), limit))
-        self.assertFalse(usage.is_too_wide(make_step(4), limit))
-        self.assertFalse(usage.is_too_wide(make_step(400, gang=True), None))
+        self.assertTrue(usage.exceeds_limit(make_step(4, gang=True), limit))
+        self.assertFalse(usage.exceeds_limit(make_step(4), limit))
+        self.assertFalse(usage.exceeds_limit(make_step(400, gang=True), None))
 
 
 class Shares(unittest.TestCase):
-    """Jobs beyond a workspace's weight."""
+    """Which jobs are owed to a workspace with a weight."""
 
     def setUp(self):
         self.shares = shares.Shares()
@@ -90,32 +90,32 @@
         self.shares.set_weights(workspace.Workspaces([weighted]))
 
     def count_owed(self, a_second, seconds, from_ms=0):
-        """How many jobs are owed of those that come evenly for some seconds."""
+        """Count the owed jobs of those that arrive evenly for some seconds."""
         count = int(a_second * seconds)
         return sum(
             self.shares.charge_job("w", from_ms + int(number * 1000 / a_second))
             for number in range(count)
         )
 
-    def test_all_within_the_weight_is_owed(self):
+    def test_all_jobs_within_the_weight_are_owed(self):
         self.assertEqual(self.count_owed(2.0, 60), 120)
 
-    def test_bunch_is_owed_that_is_within_the_weight_over_the_window(self):
+    def test_burst_within_the_weight_over_the_window_is_owed(self):
         bunch = int(2.0 * shares.WINDOW_S)
         self.assertEqual(self.count_owed(100.0, bunch / 100), bunch)
 
-    def test_weight_goes_on_to_be_owed_of_what_is_far_more(self):
-        """Of 15 jobs a second, seven times the weight, two a second stay owed."""
+    def test_jobs_up_to_the_weight_stay_owed_under_overload(self):
+        """At 15 jobs a second, seven times the weight, two a second stay owed."""
         owed = self.count_owed(15.0, 60)
         allowed = 2.0 * (60 + shares.WINDOW_S)
         self.assertAlmostEqual(owed, allowed, delta=3)
         self.assertEqual(self.count_owed(2.0, 10, from_ms=70_000), 20)
 
-    def test_nobody_and_who_has_no_weight_owe_nothing_to_anybody(self):
+    def test_all_jobs_without_a_workspace_or_weight_are_owed(self):
         for name in ("", "other"):
             self.assertTrue(all(self.shares.charge_job(name, 0) for _ in range(99)))
 
-    def test_times_of_acceptance_need_not_rise(self):
+    def test_acceptance_times_may_go_backwards(self):
         times = [1000, 900, 3000, 1000, 2500]
         self.assertTrue(all(self.shares.charge_job("w", at) for at in times))
 
--- a/thornport/cell/decisions/yielding.py
+++ b/thornport/cell/decisions/yielding.py
@@ -1,32 +1,33 @@
-"""Steps that give way to gangs of a dearer queue: pure, made anew in each round.
+"""Makes jobs yield to waiting gangs of higher priority, anew in each pass: pure.
 
-A gang starts when many workers have room at the same time. Small tasks of other queues
-take each piece of room as it comes, also where none is kept, so in a full cell gangs
-would wait for seconds while cheaper work with as much time to spare begins at once. So
-while a gang waits for room, jobs of lower priority that have not begun wait too, as
-long as they have time to spare.
+A gang needs room on many workers at the same time. In a full cell, small tasks of other
+queues take each piece of room that is not reserved as soon as it is freed. Gangs then
+wait for seconds while jobs of lower priority with as much time to spare start at once.
+So while a gang waits for room, jobs of lower priority that have not started wait too,
+as long as they have time to spare.
 """
 
 from thornport.kernel import clock
 
-# Of the time that a job has beyond its work. The rest is for its own waits, for tasks
-# that fail, and for the load of the next seconds.
+# The share of a job's spare time, beyond its work, for which it yields. The rest is for
+# its own waits, for failed tasks, and for the load of the next seconds.
 YIELD_SHARE = 0.25
-# Of a long job a share may be many seconds. Users allow a job that has room to wait 3 s
-# until anything of it runs, and it may wait for advice besides.
+# The share of a long job's spare time may be many seconds, but users allow a job that
+# has room to wait 3 s until its first task runs, and it may also wait for advice.
 MAX_YIELD_S = 2.0
-# In a cell that is less full a gang finds room soon, or waits for few workers of its
-# own, and others would leave the rest idle for nothing.
+# Share of the cores in use from which jobs yield. In a less full cell a gang finds room
+# soon, or waits for a few workers that only it needs, and yielding would leave the
+# other workers idle in vain.
 FULL_SHARE = 0.65
 
 
 class Yielding:
-    """Who gives way in one round."""
+    """Decides which jobs yield in one scheduling pass."""
 
     __slots__ = ("_now", "_priority_by_service")
 
     def __init__(self, now):
-        """Begin with nobody giving way.
+        """Begin with no gang waiting.
 
         Args:
           now: A float.
@@ -35,41 +36,41 @@
         self._priority_by_service = {}
 
     def note_waiting_gang(self, queue, workers):
-        """Take that a gang waits for room that will come.
+        """Record that a gang waits for room that is expected to become free.
 
         Args:
-          queue: Its queue.Queue.
-          workers: A list of model.Worker, those that jobs of its service may use.
+          queue: The gang's queue.Queue.
+          workers: A list of model.Worker that the gang may use.
         """
         if compute_used_share(workers) < FULL_SHARE:
             return
-        foremost = self._priority_by_service.get(queue.service, queue.priority)
-        self._priority_by_service[queue.service] = min(foremost, queue.priority)
+        top_priority = self._priority_by_service.get(queue.service, queue.priority)
+        self._priority_by_service[queue.service] = min(top_priority, queue.priority)
 
     def must_yield(self, job, queue):
-        """Tell whether a job leaves its place to gangs that wait.
+        """Tell whether a job must wait because of waiting gangs.
 
         Args:
           job: A model.JobEntry.
           queue: Its queue.Queue.
         Returns:
-          A bool; false of a job that has begun, for what it holds is free sooner then.
+          A bool; false for a job that has started: finishing it frees its room sooner.
         """
-        foremost = self._priority_by_service.get(queue.service, queue.priority)
-        if job.has_begun or queue.priority <= foremost:
+        top_priority = self._priority_by_service.get(queue.service, queue.priority)
+        if job.has_begun or queue.priority <= top_priority:
             return False
         spare_s = job.record.compute_spare_ms() / clock.MS_PER_S
-        yields_s = min(MAX_YIELD_S, YIELD_SHARE * spare_s)
-        return self._now - job.arrived_at < yields_s
+        yield_s = min(MAX_YIELD_S, YIELD_SHARE * spare_s)
+        return self._now - job.arrived_at < yield_s
 
 
 def compute_used_share(workers):
-    """Compute the share of the cores of some workers that is in use.
+    """Compute the share of the workers' cores that is in use.
 
     Args:
       workers: A list of model.Worker.
     Returns:
-      A float; 0 without workers.
+      A float; 0 if there are no workers.
     """
     total = sum(worker.entry.total.millicores for worker in workers)
     used = sum(worker.used.millicores for worker in workers)
