--- a/thornport/cell/owner/__init__.py
+++ b/thornport/cell/owner/__init__.py
@@ -1,1 +1,1 @@
-"""Being the owner of a cell: its key, its records, its looks and orders."""
+"""Ownership of a cell: its key, its records, worker polls and commands."""
--- a/thornport/cell/owner/commands.py
+++ b/thornport/cell/owner/commands.py
@@ -1,4 +1,4 @@
-"""Carrying out the orders of a cell's owner."""
+"""Executes the commands of a cell's owner."""
 
 import functools
 
@@ -9,18 +9,18 @@
 
 @functools.singledispatch
 def execute(command, session):
-    """Carry out an order.
+    """Execute a command.
 
     Args:
-      order: A message of messages, or a ticketing.CallAdvice.
+      command: A message of messages, or a ticketing.CallAdvice.
       session: An owner.OwnerSession.
     """
-    raise TypeError(f"no way to carry out {command!r}")
+    raise TypeError(f"cannot execute {command!r}: unknown kind of command")
 
 
 @execute.register
 def start_run(command: messages.StartOrder, session):
-    """Tell a worker to start a run."""
+    """Send a start command to a worker."""
     if session.core.is_urgent_at(command.worker_id):
         session.polling.end_pause(command.worker_id)
     tasks.spawn(_start_run(command, session), "start-run")
@@ -39,7 +39,7 @@
 
 @execute.register
 def stop_run(command: messages.StopOrder, session):
-    """Tell a worker to stop a run."""
+    """Send a stop command to a worker."""
     tasks.spawn(_stop_run(command, session), "stop-run")
 
 
@@ -49,14 +49,14 @@
     if session.is_active:
         session.core.take_stop_outcome(command, outcome, clock.read_monotonic())
         if isinstance(outcome, messages.Done):
-            # Whether the run is gone only a look that is sent from now on tells.
+            # Only a poll sent from now on shows whether the run is gone.
             session.polling.poll_again(command.worker_id)
         session.pump()
 
 
 @execute.register
 def call_advice(command: ticketing.CallAdvice, session):
-    """Have one of our processes call for advice."""
+    """Ask a process of the cell to call for advice."""
     step = command.request.step
     left_ms = clock.compute_remaining_ms(command.deadline, clock.read_monotonic())
     session.bus.send(
@@ -70,12 +70,12 @@
 
 @execute.register
 def poll_again(command: messages.LookAgain, session):
-    """Look at a worker at once."""
+    """Poll a worker at once."""
     session.polling.poll_again(command.worker_id)
 
 
 def log_command(event, command, outcome):
-    """Log an order and what came of it."""
+    """Log a command and its outcome."""
     key = command.key
     reason = getattr(outcome, "reason", "")
     logs.log(
--- a/thornport/cell/owner/committing.py
+++ b/thornport/cell/owner/committing.py
@@ -1,8 +1,8 @@
-"""Committing a transaction until its outcome is known, by a store that may be slow.
+"""Commits a transaction to a possibly slow store until its outcome is known.
 
-An answer may be lost, or late. A transaction without one is sent again while its
-earlier copies are open, once it has taken several times as long as usual: its head
-lets it be applied only once. How long is usual is measured here.
+Answers may be lost or late. A transaction that has taken several times the usual
+latency is sent again while its earlier copies are open: the condition on its head key
+lets it be applied only once. The usual latency is measured here.
 """
 
 import msgspec
@@ -12,22 +12,22 @@
 from thornport.kernel import clock, tasks
 from thornport.store import port, transactions
 
-RETRY_S = 0.1  # after a write that the store did not take
-# A transaction is sent again when it has taken this many times as long as usual.
+RETRY_S = 0.1  # after a write that the store did not accept
+# A transaction is sent again after this many times the usual latency.
 RESEND_FACTOR = 4
-MIN_RESEND_S = 0.06  # several times the store's usual answer
+MIN_RESEND_S = 0.06  # several times the store's usual latency
 MAX_RESEND_S = 0.5
-MAX_OPEN_COPIES = 3  # copies of a transaction that are open together
-LATENCY_WEIGHT = 0.2  # of the newest answer in the usual latency
-INITIAL_LATENCY_S = 0.005  # the store's usual answer, before any has come
+MAX_OPEN_COPIES = 3  # open copies of one transaction
+LATENCY_WEIGHT = 0.2  # weight of the latest answer in the usual latency
+INITIAL_LATENCY_S = 0.005  # the usual latency assumed before the first answer
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What became of a transaction.
+    """The outcome of a transaction.
 
     Attributes:
       sent_at: A float, when its first copy was sent.
-      revision: An int, the store's when it was applied; None if it was refused.
+      revision: An int, the store's revision at which it was applied; None if refused.
       refused: The transactions.Refused; None if it was applied.
     """
 
@@ -42,7 +42,7 @@
     __slots__ = ("_is_stopped", "_metrics", "_reactor", "_store", "_usual_latency_s")
 
     def __init__(self, reactor, store, metrics):
-        """Begin.
+        """Initialize without open transactions.
 
         Args:
           reactor: Twisted's reactor.
@@ -56,7 +56,7 @@
         self._is_stopped = False
 
     def stop(self):
-        """Send nothing more."""
+        """Send no further transactions or copies."""
         self._is_stopped = True
 
     async def commit(self, transaction):
@@ -65,7 +65,7 @@
         Args:
           transaction: A transactions.Transaction that can be applied only once.
         Returns:
-          An Outcome; None if this was stopped before.
+          An Outcome; None if the committer was stopped first.
         """
         began_at = clock.read_monotonic()
         answers = defer.DeferredQueue()
@@ -88,7 +88,7 @@
         return None
 
     async def _wait_for_answer(self, answers):
-        """Wait for an answer; None when it is time to send again."""
+        """Wait for an answer; return None when the transaction is to be sent again."""
         wait_s = min(
             MAX_RESEND_S, max(MIN_RESEND_S, RESEND_FACTOR * self._usual_latency_s)
         )
@@ -99,7 +99,7 @@
             return None
 
     def _read_outcome(self, answer, began_at):
-        """Read the outcome from an answer; None when it does not tell."""
+        """Read the outcome from an answer; return None if it is still unknown."""
         if isinstance(answer, result.Success):
             self._note_latency(clock.read_monotonic() - began_at)
             return Outcome(began_at, revision=answer.unwrap())
--- a/thornport/cell/owner/following.py
+++ b/thornport/cell/owner/following.py
@@ -1,7 +1,7 @@
-"""Following what the store keeps of a cell: workers, jobs, cancels and progress.
+"""Follows the records of a cell in the store: workers, jobs, cancels and progress.
 
-All is read once at the beginning, and the progress of jobs only then: it is
-this owner that writes it afterwards.
+All of them are read once at the beginning. The progress of jobs is read only then,
+since this owner writes it afterwards.
 """
 
 import msgspec
@@ -14,33 +14,33 @@
 from thornport.kernel import clock, logs, tasks
 from thornport.store import transactions, watching
 
-# Between answers of a watch: peers tell of jobs at once, so the watch is for
-# what they could not tell, and calls are priced.
+# Between answers of a watch. Calls have a price, and peers report jobs at once, so that
+# the watch only has to find what they could not report.
 WATCH_GAP_S = 0.3
 READ_RETRY_S = 0.1  # after a read that the store did not answer
 
 
 class PrefixSnapshot(msgspec.Struct, frozen=True):
-    """What the store keeps under a prefix.
+    """The records in the store under a prefix.
 
     Attributes:
       items: A list of transactions.Item.
-      at: An int, the store's revision from which a watch goes on.
+      revision: An int, the store's revision from which a watch continues.
     """
 
     items: list[transactions.Item]
-    at: int
+    revision: int
 
 
 class Following:
-    """Reads the keys of a cell, follows them, and tells the core of each."""
+    """Reads and follows the keys of a cell, and passes their values to the core."""
 
     def __init__(self, reactor, session):
-        """Begin; nothing is read yet.
+        """Initialize; nothing is read yet.
 
         Args:
           reactor: Twisted's reactor.
-          session: The owner.OwnerSession whose core is told.
+          session: The owner.OwnerSession whose core takes the records.
         """
         self._reactor = reactor
         self._session = session
@@ -48,16 +48,17 @@
         self._ports = session.ports
         self._followers = []
         self._persisted_cancels = []
-        # Revisions of entries that no worker wrote, by the id that they are under.
+        # Revisions of entries that can't be decoded, since another writer than a worker
+        # made them, by the worker ID in their key.
         self._undecodable_entries = {}
-        self._workers_at = None
-        self._inbox_at = None
+        self._workers_revision = None
+        self._inbox_revision = None
 
     async def read(self):
         """Read all persisted records, retrying until the store has answered.
 
-        All prefixes are read at once, for a slow store takes long for each. Earlier
-        owners write nothing any more, so it does not matter which was read first.
+        All prefixes are read concurrently, since a slow store takes long for each.
+        Earlier owners write nothing any more, so the order does not matter.
         """
         prefixes = (
             self._ports.worker_prefix,
@@ -70,34 +71,34 @@
         workers, inbox, progress = await defer.gatherResults(reads)
         if not self._session.is_active:
             return
-        self._workers_at, self._inbox_at = workers.at, inbox.at
+        self._workers_revision, self._inbox_revision = workers.revision, inbox.revision
         self._take_workers(workers.items)
         await self._take_first_inbox(inbox.items)
         await tasks.act_in_parts(self._reactor, progress.items, self._take_progress)
 
     def follow(self):
-        """Follow the keys from where they were read."""
+        """Follow the keys from the revisions at which they were read."""
         self._apply_persisted_cancels()
         self._follow(
             self._ports.worker_prefix,
-            self._workers_at,
+            self._workers_revision,
             self._take_workers,
             self._take_worker_change,
         )
         self._follow(
             record.INBOX_PREFIX,
-            self._inbox_at,
+            self._inbox_revision,
             self._take_inbox,
             self._take_inbox_change,
         )
 
     def stop(self):
-        """Follow no more."""
+        """Stop following the keys."""
         for follower in self._followers:
             follower.stop()
 
     async def _read(self, prefix):
-        """Read a prefix; a Kept, or None when the ownership is lost."""
+        """Read a prefix; return a PrefixSnapshot, or None if the session ended."""
         while self._session.is_active:
             read = await watching.read_prefix(self._ports.store, prefix)
             if isinstance(read, result.Success):
@@ -105,7 +106,7 @@
             await tasks.sleep(self._reactor, READ_RETRY_S)
         return None
 
-    def _follow(self, prefix, at, take_all, take_change):
+    def _follow(self, prefix, revision, take_all, take_change):
         follower = watching.Follower(
             self._reactor,
             self._ports.store,
@@ -115,7 +116,7 @@
             WATCH_GAP_S,
         )
         self._followers.append(follower)
-        tasks.spawn(follower.follow(at), f"follow {prefix}")
+        tasks.spawn(follower.follow(revision), f"follow {prefix}")
 
     # Workers.
 
@@ -128,10 +129,10 @@
         self._session.pump()
 
     def _take_worker(self, item):
-        """Take an entry; an item that was read, or a change that has a value.
+        """Take a worker entry from an item that was read or a change with a value.
 
         Returns:
-          A bool, whether it is the entry of a worker.
+          A bool, whether it could be decoded as the entry of a worker.
         """
         worker_id = item.key.removeprefix(self._ports.worker_prefix)
         try:
@@ -158,14 +159,14 @@
         return True
 
     def _drop_undecodable(self, worker_id, revision, reason):
-        """Take no worker from an entry that some other writer has made."""
+        """Drop the worker of an entry that can't be decoded; log each revision once."""
         if self._undecodable_entries.get(worker_id) != revision:
             self._undecodable_entries[worker_id] = revision
             logs.log("worker-entry-undecodable", worker=worker_id, reason=reason)
         self._core.drop_worker(worker_id, clock.read_monotonic())
 
     def _may_come_back(self):
-        """Whether entries lapse because the store was away a moment ago."""
+        """Return whether entries may have lapsed because the store was away lately."""
         return self._ports.store.was_away_within(learning.RELIST_GRACE_S)
 
     def _take_worker_change(self, change):
@@ -183,7 +184,7 @@
     # Jobs.
 
     async def _take_first_inbox(self, items):
-        """Take all jobs in the order of acceptance, and note the cancels."""
+        """Take all jobs in the order of acceptance, and store the cancels for later."""
         found = []
         await tasks.act_in_parts(
             self._reactor, items, lambda part: found.extend(decode_jobs(part))
@@ -193,7 +194,7 @@
         self._persisted_cancels = list_cancels(items)
 
     def _take_inbox(self, items):
-        """Take all there is, read anew after the store forgot its history."""
+        """Take all records, read again after the store dropped its history."""
         self._take_jobs(sorted(decode_jobs(items), key=get_accepted_at_ms))
         self._persisted_cancels = list_cancels(items)
         self._apply_persisted_cancels()
@@ -213,7 +214,7 @@
         now = clock.read_monotonic()
         if change.key.startswith(record.JOB_PREFIX):
             job_record = decode_job(change.key, change.value)
-            # The owner's own writes and what peers told of come back here.
+            # The owner's own writes and jobs that peers reported show up here again.
             if job_record is not None and self._core.take_job(job_record, now):
                 logs.log("job-taken", job=job_record.job_id, revision=change.revision)
         elif change.key.startswith(record.CANCEL_PREFIX):
@@ -235,7 +236,7 @@
 
 
 def has_changed(known, entry):
-    """Tell whether an entry says something new of what a worker takes.
+    """Return whether any logged field of a worker entry has changed.
 
     Args:
       known, entry: A messages.WorkerEntry each.
@@ -246,7 +247,7 @@
 
 
 def get_logged_fields(entry):
-    """What a change of the log line for an entry depends on: a tuple."""
+    """Return the fields of an entry whose changes are logged, as a tuple."""
     return entry.state, entry.total, entry.address, entry.started_at_ms
 
 
@@ -256,7 +257,7 @@
     Args:
       items: A list of transactions.Item.
     Returns:
-      A list of record.JobRecord; what can't be decoded is logged and left out.
+      A list of record.JobRecord; records that can't be decoded are logged and omitted.
     """
     jobs = [item for item in items if item.key.startswith(record.JOB_PREFIX)]
     decoded = (decode_job(item.key, item.value) for item in jobs)
@@ -264,7 +265,7 @@
 
 
 def get_accepted_at_ms(job_record):
-    """Read when a job was accepted, by which jobs are sorted.
+    """Return when a job was accepted, the sort key of jobs.
 
     Args:
       job_record: A record.JobRecord.
@@ -275,7 +276,7 @@
 
 
 def list_cancels(items):
-    """List the jobs whose cancel is among the items of the inbox.
+    """List the jobs that have a cancel among the items of the inbox.
 
     Args:
       items: A list of transactions.Item.
--- a/thornport/cell/owner/lanes.py
+++ b/thornport/cell/owner/lanes.py
@@ -1,6 +1,6 @@
-"""Lanes of an owner's writes, their heads, and the transactions in them.
+"""The lanes in which an owner writes, their head keys and their transactions.
 
-Nothing here calls the store: `ledger` decides when a lane writes.
+Nothing here calls the store; `ledger` decides when a lane writes.
 """
 
 import msgspec
@@ -15,13 +15,13 @@
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The value of a head key: who wrote last, and who may still give orders.
+    """The value of a head key: the last writer, and who may still send commands.
 
     Attributes:
       token: An int, the revision of the owner's key.
-      sequence: An int that rises with each transaction of this owner in the lane.
+      sequence: An int that increases with each transaction of this owner in the lane.
       address: A str, where the owner takes messages.
-      earlier: Addresses of earlier owners that have not said that they ceased.
+      earlier: Addresses of earlier owners that have not confirmed that they ceased.
     """
 
     token: int
@@ -31,17 +31,17 @@
 
 
 class Lane(msgspec.Struct, eq=False):
-    """One of the lanes.
+    """A sequence of transactions of the owner, of which at most one is open.
 
     Attributes:
       number: An int, from 0.
       revision: An int, of its head key.
       sequence: An int, of its last transaction.
       busy_since: A float, since when a transaction is open; None when none is.
-      wants_key: Whether its transaction waits for the owner's key.
-      is_due: Whether the ownership has to be confirmed by a transaction that is sent
-        from now on.
-      sleeping: A Deferred; None when it does not sleep.
+      awaits_key: Whether its transaction waits for the owner key to be regained.
+      must_confirm: Whether a transaction that is sent from now on has to confirm the
+        ownership.
+      sleeping: A Deferred that ends the sleep; None while the lane is awake.
     """
 
     number: int
@@ -54,15 +54,15 @@
 
     @property
     def head_key(self):
-        """The key of its head, a str."""
+        """The store key of its head, a str."""
         return f"{HEAD_KEY}/{self.number}" if self.number else HEAD_KEY
 
     def wake(self, must_confirm=False):
-        """End a sleep.
+        """Wake the lane if it sleeps.
 
         Args:
-          is_due: A bool, whether it is time to confirm; one that does not sleep does
-            so next.
+          must_confirm: A bool, whether the lane has to confirm the ownership; a lane
+            that is awake does so next.
         """
         self.must_confirm = self.must_confirm or must_confirm
         sleeping, self.sleeping = self.sleeping, None
@@ -71,7 +71,7 @@
 
 
 def make_transaction(lane, batch, head, token):
-    """Make the transaction that keeps a batch.
+    """Make the transaction that persists a batch.
 
     Args:
       lane: A Lane.
@@ -106,7 +106,7 @@
 
 
 def decode_head(value):
-    """Decode the head key.
+    """Decode the value of a head key.
 
     Args:
       value: Bytes, empty when there is none.
--- a/thornport/cell/owner/ledger.py
+++ b/thornport/cell/owner/ledger.py
@@ -1,16 +1,16 @@
-"""Keeping the owner's records: in lanes, each one transaction after the other.
+"""Persists the owner's records in lanes, each with one transaction at a time.
 
-Each transaction names the owner's key and the head key of its lane, which it
-changes, so that one whose answer was lost can be sent again and is applied once,
-and a late one is never applied over a newer one; `committing` sends them.
+Each transaction is conditional on the owner key and on the head key of its lane, which
+it changes. So a transaction whose answer was lost can be sent again and is applied only
+once, and a late one is never applied over a newer one. `committing` sends them.
 
-The first lane does it all while the store answers in milliseconds. A slow store
-answers some times a second, and a transaction holds few jobs, so further lanes join
-while the ones before them wait. A job is in one lane at a time.
+The first lane writes everything while the store answers in milliseconds. A slow store
+answers a few times a second and a transaction holds few jobs, so further lanes join
+while the lanes before them wait. A job is in one lane at a time.
 
-The lease of the owner's key may run out while the store is away, or be taken.
-While nobody else has written a head since, what the owner knows is still all
-there is, so it gets the key back and goes on under a higher token.
+The lease of the owner key may expire while the store is away, or be taken. While no
+other process has written a head since, the owner's state is still complete, so the
+owner regains the key and continues under a higher token.
 """
 
 import msgspec
@@ -21,28 +21,28 @@
 from thornport.kernel import clock, logs, tasks
 from thornport.store import transactions, watching
 
-# Transactions that are open together: one at a time, a slow store would take too few
-# records a second.
+# Maximum number of open transactions. With one at a time, a slow store would take too
+# few records a second.
 LANES = 6
-# A lane joins when the one before it has waited this long: several times the store's
-# usual answer, for each transaction is a call.
+# A lane joins when the one before it has waited this long. Each transaction is a call,
+# so this is several times the store's usual latency.
 LANE_JOIN_DELAY_S = 0.02
-# Between transactions, so that records share one: calls are priced, but urgent
-# jobs are in time by tens of milliseconds.
+# Between transactions, so that records share one. Calls have a price, but urgent jobs
+# have only tens of milliseconds to spare.
 TRANSACTION_GAP_S = 0.004
-CONFIRM_PERIOD_S = 2.0  # an idle owner confirms that it is the owner
+CONFIRM_PERIOD_S = 2.0  # between transactions of an idle owner to confirm its ownership
 
 
 class Ledger:
-    """Writes the batches of one ownership.
+    """Writes the batches of one session of ownership.
 
     Attributes:
-      earlier: A tuple of str, as in Head; whoever ceases is taken out.
+      earlier: A tuple of str, as in Head, without the owners that ceased since.
       last: The lanes.Head of the last owner that wrote; None if there was none.
     """
 
     def __init__(self, reactor, store, token, address, metrics, regain):
-        """Begin.
+        """Initialize; nothing is read or written yet.
 
         Args:
           reactor: Twisted's reactor.
@@ -50,10 +50,10 @@
           token: An int, the revision of the owner's key.
           address: A str, where this process takes messages.
           metrics: A metrics.Metrics.
-          regain: A coroutine function that tries to get a key back that is gone.
-            It takes the transactions.Conditions that hold while nobody else has
-            decided, and gives the new token, an int, or None when the cell is
-            another's.
+          regain: A coroutine function that tries to regain a lost key. It takes
+            the transactions.Conditions that hold while no other process has
+            decided, and returns the new token, an int, or None if another
+            process owns the cell.
         """
         self._regain = regain
         self._address = address
@@ -77,17 +77,17 @@
         self._end_regaining(None)
 
     def wake(self, must_confirm=False):
-        """There is something to keep.
+        """Wake the lanes, for there are records to persist.
 
         Args:
-          is_due: A bool, whether it is time to confirm instead.
+          must_confirm: A bool, whether the ownership has to be confirmed instead.
         """
         for lane in self._lanes:
             if self._may_start(lane):
                 lane.wake(must_confirm)
 
     async def read_heads(self):
-        """Read the heads; a bool, whether the store answered."""
+        """Read the heads; return whether the store answered."""
         read = await watching.read_prefix(self._store, lanes.HEAD_KEY)
         if isinstance(read, result.Failure):
             return False
@@ -103,21 +103,22 @@
         return True
 
     async def register(self):
-        """Write the first head before any order goes out.
+        """Write the first head before any command is sent.
 
-        A successor then knows whom to ask whether orders may still come.
+        A successor then knows whom to ask whether commands may still come.
 
         Returns:
-          A bool, whether the key is ours.
+          A bool, whether this process holds the key.
         """
         return await self._commit(self._lanes[0], None) is not None
 
     async def write(self, make_batch, take_persisted):
-        """Write batches until stopped or until the key is not ours.
+        """Write batches until stopped or until the key is lost.
 
         Args:
-          make_batch: A callable giving the next batches.Batch or None.
-          take_kept: A callable of a batch, or None, and the time it was sent.
+          make_batch: A callable that returns the next batches.Batch or None.
+          take_persisted: A callable of a persisted batch, or None, and the time it was
+            sent.
         """
         writers = [
             tasks.spawn(self._write(lane, make_batch, take_persisted), "write-lane")
@@ -126,14 +127,15 @@
         await defer.DeferredList(writers)
 
     async def _write(self, lane, make_batch, take_persisted):
-        """Write the batches of one lane; when it ends, all do."""
+        """Write the batches of one lane; when this lane ends, all lanes do."""
         while not self._is_stopped:
             batch = make_batch() if self._may_start(lane) else None
             if batch is None and not lane.must_confirm:
                 await self._sleep(lane)
                 continue
-            # Only what is sent after an order to confirm tells: a transaction that was
-            # open then may have been applied before the key went.
+            # Only a transaction sent after the request to confirm proves the
+            # ownership: one that was open then may have been applied before the key
+            # was lost.
             lane.must_confirm = False
             sent_at = await self._commit(lane, batch)
             if sent_at is None:
@@ -144,7 +146,7 @@
             await tasks.sleep(self._reactor, TRANSACTION_GAP_S)
 
     def _may_start(self, lane):
-        """Whether a lane may begin: the one before it has waited for long."""
+        """Return whether a lane may write, since the lane before it waits for long."""
         if not lane.number:
             return True
         busy_since = self._lanes[lane.number - 1].busy_since
@@ -153,7 +155,7 @@
         return clock.read_monotonic() - busy_since >= LANE_JOIN_DELAY_S
 
     async def _sleep(self, lane):
-        """Wait for something to keep, or until it is time to confirm."""
+        """Wait for records to persist, or until the ownership has to be confirmed."""
         sleeping = lane.sleeping = defer.Deferred()
         if lane.number:
             await sleeping
@@ -166,11 +168,11 @@
         )
 
     async def _commit(self, lane, batch):
-        """Commit until the outcome is known.
+        """Commit a batch until its outcome is known.
 
         Returns:
-          A float, when the transaction that was applied was sent; None when
-          the key is not ours any more.
+          A float, when the transaction that was applied was sent; None if the
+          key is lost.
         """
         lane.busy_since = clock.read_monotonic()
         timer = self._schedule_next_lane(lane)
@@ -183,7 +185,7 @@
                 timer.cancel()
 
     def _schedule_next_lane(self, lane):
-        """Wake the lane after this one in a while; the timer, None for the last."""
+        """Start and return the timer that wakes the next lane, None for the last."""
         if lane.number + 1 == LANES:
             return None
         next_lane = self._lanes[lane.number + 1]
@@ -205,7 +207,7 @@
             by_key = outcome.refused.by_key
             if self._is_ours_again(lane, by_key):
                 continue
-            # While it is being got back, the key that is there may be ours.
+            # While the key is being regained, the key in the store may be this owner's.
             if ownership.OWNER_KEY in by_key and not self._is_regaining:
                 logs.log("ledger-refused", token=self._token, reason="not the owner")
                 return None
@@ -214,11 +216,11 @@
         return None
 
     def _is_ours_again(self, lane, by_key):
-        """Whether the key was got back since a transaction was sent.
+        """Check whether the key was regained since a transaction was sent.
 
         Args:
-          lane: Its lanes.Lane, whose head nobody else has written then.
-          by_key: The Items of its conditions as they are, by key.
+          lane: Its lanes.Lane, whose head no other process has written in this case.
+          by_key: The current Items of its conditions, by key.
         Returns:
           A bool; the transaction may be sent again under the new token.
         """
@@ -229,10 +231,10 @@
         return is_ours and revision == lane.revision
 
     async def _wait_for_key(self, lane):
-        """Get the key back, once no lane has a transaction that may be applied.
+        """Regain the key once no lane has a transaction that may still be applied.
 
         Returns:
-          A bool, whether it is ours again.
+          A bool, whether the key was regained.
         """
         lane.awaits_key = True
         waiting = defer.Deferred()
@@ -241,7 +243,7 @@
         return await waiting
 
     def _start_regaining(self):
-        """Try to get the key back if each open transaction waits for it."""
+        """Try to regain the key if each open transaction waits for it."""
         settled = all(
             lane.awaits_key or lane.busy_since is None for lane in self._lanes
         )
@@ -260,10 +262,10 @@
         self._end_regaining(token)
 
     def _end_regaining(self, token):
-        """Let the lanes that wait for the key go on.
+        """Resume the lanes that wait for the key.
 
         Args:
-          token: An int, the new token; None when the cell is another's.
+          token: An int, the new token; None if another process owns the cell.
         """
         if token is not None:
             self._token = token
@@ -275,14 +277,14 @@
 
 
 def note_applied(lane, outcome, head):
-    """Note in a lane that its transaction, or a copy of it, was applied.
+    """Record in a lane whether its transaction, or a copy of it, was applied.
 
     Args:
       lane: A lanes.Lane.
       outcome: A committing.Outcome.
       head: Bytes, the value of the head key in the transaction.
     Returns:
-      A bool, whether it was.
+      A bool, whether it was applied.
     """
     if outcome.refused is None:
         lane.revision = outcome.revision
--- a/thornport/cell/owner/noting.py
+++ b/thornport/cell/owner/noting.py
@@ -1,4 +1,4 @@
-"""Log lines for what the decisions note; see `decisions.notes`."""
+"""Log lines for the notes of the decisions; see `decisions.notes`."""
 
 import functools
 
@@ -6,7 +6,7 @@
 from thornport.jobs import workspace
 from thornport.kernel import logs
 
-# Counters of notes.
+# The metric that counts each kind of note.
 COUNTER_BY_NOTE = {
     notes.RunLost: "runs.lost",
     notes.IncarnationOver: "workers.over",
@@ -22,12 +22,12 @@
     Args:
       note: A message of notes.
     """
-    raise TypeError(f"no line for {note!r}")
+    raise TypeError(f"no log line for note {note!r}")
 
 
 @log_note.register
 def log_run_lost(note: notes.RunLost):
-    """Log that a run ended with its worker."""
+    """Log that a run was lost with its worker."""
     logs.log(
         "run-lost",
         job=note.key.job_id,
@@ -44,7 +44,7 @@
 
 @log_note.register
 def log_incarnation_over(note: notes.IncarnationOver):
-    """Log that the life of a worker is over, and what proved it."""
+    """Log that the incarnation of a worker ended, and what proved it."""
     logs.log(
         "worker-over",
         worker=note.worker_id,
@@ -58,7 +58,7 @@
 
 @log_note.register
 def log_start_given_up(note: notes.StartGivenUp):
-    """Log that no ticket came for a start in time."""
+    """Log that no ticket for a start arrived in time."""
     logs.log(
         "start-given-up",
         job=note.key.job_id,
@@ -70,7 +70,7 @@
 
 @log_note.register
 def log_limit_wait(note: notes.LimitWait):
-    """Log that a step begins or ceases to wait for its workspace's limit."""
+    """Log that a step starts or stops waiting for the limit of its workspace."""
     logs.log(
         "step-at-limit" if note.is_waiting else "step-within-limit",
         job=note.key.job_id,
@@ -97,5 +97,5 @@
 
 
 def format_start(started_at_ms):
-    """Format when a worker has started: empty if it is not known."""
+    """Format the start time of a worker; empty if unknown."""
     return "" if started_at_ms is None else started_at_ms
--- a/thornport/cell/owner/offering.py
+++ b/thornport/cell/owner/offering.py
@@ -1,7 +1,7 @@
-"""Offers of an owner to be replaced by a process that is better placed.
+"""Offers the cell to a better suited process while this process is the owner.
 
-Whoever takes an offer overwrites the owner's key at its revision; the owner goes on
-until a worker or the store tells it of its successor.
+The process that accepts an offer overwrites the owner key at its revision. The owner
+goes on until a worker or the store shows that it has a successor.
 """
 
 from thornport.cell.decisions import advising
@@ -9,18 +9,18 @@
 from thornport.cell.peers import peering
 from thornport.kernel import clock, logs, tasks
 
-OFFER_PERIOD_S = 0.1  # looks whether the owner has to be replaced
-# Looks in a row that find the store away before the first offer: when the store turns
-# slow, its first late answers come just after it counts as away, and a takeover by a
-# slow store takes seconds.
+OFFER_PERIOD_S = 0.1  # between checks whether the owner has to be replaced
+# Consecutive checks that find the store away before the first offer. When the store
+# becomes slow, its first late answers come just after it counts as away, and a takeover
+# at a slow store takes seconds.
 AWAY_CHECKS = 2
-# Between looks whether a larger VM should have the cell; an offer takes less.
+# Between checks whether a larger VM should have the cell; an offer takes less time.
 HAND_OVER_PERIOD_S = 1.0
-# An owner whose timers fire this late on average can't carry its cell; one that can is
-# late by some milliseconds.
+# An owner whose timers fire later than this on average can't keep up with its cell. The
+# timers of one that keeps up are late by a few milliseconds.
 MAX_TIMER_LAG_S = 0.05
-# By then the processes have greeted a new owner twice, and it has taken in what waited
-# while nobody decided.
+# After a takeover. By then the processes have greeted a new owner twice, and it has
+# processed what accumulated while nobody decided.
 SETTLE_PERIOD_S = 1.5
 
 
@@ -28,11 +28,11 @@
     """Makes the offers while this process is the owner."""
 
     def __init__(self, daemon, cores):
-        """Take what is needed.
+        """Initialize; no offers are made yet.
 
         Args:
           daemon: The daemon.SchedulerDaemon.
-          cores: A float, how much processor this VM has.
+          cores: A float, the processor cores of this VM.
         """
         self._daemon = daemon
         self._cores = cores
@@ -41,7 +41,7 @@
         self._reactor = None
 
     def start(self, reactor):
-        """Begin to make offers.
+        """Start the periodic checks that make offers.
 
         Args:
           reactor: Twisted's reactor.
@@ -53,7 +53,7 @@
         )
 
     def check_store(self):
-        """Look whether the owner has to be replaced, and offer the cell then."""
+        """Check whether the store is away, and offer the cell if it has to be."""
         self._away_checks = 0 if self._daemon.has_store() else self._away_checks + 1
         self.offer()
 
@@ -65,24 +65,24 @@
             self._offer("the store is away")
 
     def _may_wait(self):
-        """Whether this process, which stops, may wait for one that was restarted.
+        """Return whether this process, which stops, may wait for a restarted successor.
 
-        In a series of stops any other may be the next, and would give away what it
-        has not read yet: a small VM takes seconds to read the records.
+        In a rolling restart any other process may be the next to stop, and would hand
+        over before it has read the records, which takes a small VM seconds.
         """
         session = self._daemon.session
         if session is None or not self._daemon.has_store():
             return False
         now = clock.read_monotonic()
-        is_series = session.core.callers.has_recent_stop(now)
-        return is_series and now < self._daemon.hand_over_by
+        is_rolling_restart = session.core.callers.has_recent_stop(now)
+        return is_rolling_restart and now < self._daemon.hand_over_by
 
     def hand_over(self):
         """Offer the cell to a process on a much larger VM.
 
-        While processes stop and start the larger VM may be the next, and each takeover
-        costs some tenths of a second in which nobody decides; that is worth it then
-        only for an owner that can't carry the cell.
+        While processes stop and start, the larger VM may be the next to stop, and each
+        takeover costs some tenths of a second in which nobody decides. That is worth
+        it then only if the owner can't keep up with its cell.
         """
         session = self._daemon.session
         if session is None or not session.is_deciding or not self._daemon.has_store():
@@ -97,15 +97,15 @@
             self._offer("its VM is larger", cores_above)
 
     def _offer(self, reason, cores_above=0.0, is_restarted=False):
-        """Offer the cell to the best process, unless an offer is open."""
+        """Offer the cell to the best suited process, unless an offer is open."""
         session = self._daemon.session
         if session is None:
             return
         now = clock.read_monotonic()
         callers = session.core.callers
-        is_series = self._daemon.is_stopping or callers.has_recent_stop(now)
+        is_rolling_restart = self._daemon.is_stopping or callers.has_recent_stop(now)
         requirements = succession.Requirements(
-            self._daemon.bus.address, cores_above, is_series, is_restarted
+            self._daemon.bus.address, cores_above, is_rolling_restart, is_restarted
         )
         chosen = self._succession.choose(callers, requirements, now)
         if chosen is None:
@@ -117,7 +117,7 @@
         self._reactor.callLater(succession.ANSWER_TIMEOUT_S, self.offer)
 
     def take_answer(self, address, message):
-        """Take the answer to an offer; after a no, the next process is asked.
+        """Take the answer to an offer; after a refusal, ask the next process.
 
         Args:
           address: A str, of the process that was asked.
--- a/thornport/cell/owner/offering_test.py
+++ b/thornport/cell/owner/offering_test.py
@@ -214,10 +214,10 @@
         self.assertEqual(self.read_sent(), [(LARGE, 7), (SECOND, 7)])
 
     def test_next_one_is_asked_when_there_is_no_answer(self):
-        wait_s, poll_again = self.reactor.callLater.call_args.args
+        wait_s, ask_next = self.reactor.callLater.call_args.args
         self.assertEqual(wait_s, succession.ANSWER_TIMEOUT_S)
         self.now += wait_s
-        poll_again()
+        ask_next()
         self.assertEqual(self.read_sent(), [(LARGE, 7), (SECOND, 7)])
 
     def test_next_one_is_asked_at_once_after_a_claim_that_failed(self):
--- a/thornport/cell/owner/owner.py
+++ b/thornport/cell/owner/owner.py
@@ -1,4 +1,4 @@
-"""One ownership of a cell: from the claim of the key to its loss."""
+"""A session of ownership of a cell, from the claim of the owner key to its loss."""
 
 import time
 
@@ -9,39 +9,41 @@
 from thornport.jobs import record
 from thornport.kernel import clock, logs, tasks
 
-PASS_GAP_S = 0.002  # from a change to a round of placement, to gather changes
-# Rounds take a third of the processor at most: answers of workers, which a successor
-# has many of at first, and callers need the rest.
+PASS_GAP_S = 0.002  # from a change to its scheduling pass, to batch changes
+# Multiple of a pass's duration to wait before the next, so that passes take at most a
+# third of the processor. Callers and worker answers need the rest, and a new owner has
+# many worker answers to process at first.
 PASS_REST_FACTOR = 2.0
 MAX_PASS_GAP_S = 0.1
-# Between rounds for all steps; those between are for urgent ones alone, which are late
-# after tenths of a second. Most of a round for all is for steps that wait for room, and
-# those are late after seconds.
+# Minimum gap between full passes. The passes in between place urgent steps only, which
+# are late after tenths of a second. A full pass mostly serves steps that wait for
+# capacity, which are late after seconds.
 FULL_PASS_GAP_S = 0.02
-TICK_S = 0.1  # between searches for what is due
+TICK_S = 0.1  # between checks for work that is due
 READ_RETRY_S = 0.1  # after a read that the store did not answer
-# An earlier owner renews this long without the store; then its leases lapse.
+# Without the store, an earlier owner renews leases up to the limit; the last of them
+# have lapsed one lease later.
 EARLIER_OWNER_S = leases.UNCONFIRMED_LIMIT_S + leases.EARLIER_LEASE_S
-ASK_CEASED_S = 0.3  # between questions to earlier owners
-LATE_CHECK_S = 0.5  # between searches for steps that are late; a log line is no hurry
+ASK_CEASED_S = 0.3  # between requests to earlier owners to confirm that they ceased
+LATE_CHECK_S = 0.5  # between checks for late steps, which are only logged
 
 
 class OwnerSession:
-    """What runs while this process is the owner.
+    """Runs the cell while this process is the owner.
 
     Attributes:
       core: The core.CellCore.
-      looks: The looks.Looks at workers.
-      workers: The dispatching.DispatchedWorkers that looks and orders go through.
-      began_at: A float, when the key became ours.
-      is_active: Whether this ownership goes on.
-      is_deciding: Whether the records have been read.
+      polling: The polling.Polling of the workers.
+      workers: The dispatching.DispatchedWorkers that polls and commands go through.
+      began_at: A float, when this process got the key.
+      is_active: Whether the session has not ended.
+      is_deciding: Whether the records have been read and the session decides.
     """
 
     def __init__(
         self, reactor, ports, bus, metrics, settings, claimer, on_lost, known_lapses
     ):
-        """Begin; nothing is read yet.
+        """Initialize the session; nothing is read yet.
 
         Args:
           reactor: Twisted's reactor.
@@ -51,7 +53,7 @@
           settings: A settings.SchedulerSettings.
           claimer: The ownership.Claimer that holds the key.
           on_lost: A callable, called once when the ownership is lost.
-          known_lapses: The lapses.Lapses of this process's last ownership.
+          known_lapses: The lapses.Lapses of this process's previous ownership.
         """
         self._reactor = reactor
         self.ports = ports
@@ -83,7 +85,7 @@
         self.is_deciding = False
 
     def stop(self):
-        """End this ownership; nothing is decided any more."""
+        """End the session; it makes no further decisions."""
         self.is_active = False
         self.is_deciding = False
         self.polling.end_pauses()
@@ -95,26 +97,26 @@
             ticker.stop()
 
     def lose(self, reason):
-        """Tell that the ownership is lost."""
+        """End the session and report the loss to the callback."""
         if self.is_active:
             logs.log("ownership-lost", token=self.core.token, reason=reason)
             self.stop()
             self._on_lost()
 
-    # Reading what is kept.
+    # Reading the persisted records.
 
     async def rebuild(self, config):
-        """Read the records of the store.
+        """Read the persisted records from the store.
 
         Args:
           config: A queue.Config.
         Returns:
-          A bool, whether this ownership goes on.
+          A bool, whether the ownership continues.
         """
         began = clock.read_monotonic()
         self.core.take_config(config, began)
         self.core.start_reading()
-        # Beside one another, for each answer of a slow store takes long.
+        # Concurrently, since each answer of a slow store takes long.
         registering = tasks.spawn(self._register(), "register")
         await self._following.read()
         is_registered = await registering
@@ -132,26 +134,26 @@
         return True
 
     async def _register(self):
-        """Read the heads, and write the first; a bool, whether the key is ours."""
+        """Read the heads and write the first; return whether the key is still held."""
         while self.is_active and not await self._ledger.read_heads():
             await tasks.sleep(self._reactor, READ_RETRY_S)
         return self.is_active and await self._ledger.register()
 
     def take_incoming(self, value):
-        """Take a job that a process is about to keep.
+        """Take a job that a process is about to persist.
 
         Args:
           value: Bytes, of a record.JobRecord.
         """
-        kept = following.decode_job("incoming", value)
-        if kept is not None:
-            self.core.take_incoming(kept, clock.read_monotonic())
+        job_record = following.decode_job("incoming", value)
+        if job_record is not None:
+            self.core.take_incoming(job_record, clock.read_monotonic())
             self.pump()
 
     def take_persisted_by_peer(self, job_id, is_cancel):
-        """Take that a job, or its cancel, is in the store.
+        """Note that a peer has persisted a job or its cancel.
 
-        The watch of the store tells it too, a little later.
+        The watch of the store reports it too, a little later.
 
         Args:
           job_id: A str.
@@ -168,7 +170,7 @@
     # Deciding.
 
     def decide(self):
-        """Begin to decide."""
+        """Start deciding, persisting records and asking earlier owners to cease."""
         self.is_deciding = True
         self._tickers = [
             tasks.call_periodically(self._reactor, TICK_S, self._tick, "tick"),
@@ -181,7 +183,7 @@
         self._tick()
 
     async def _ask_earlier(self):
-        """Ask earlier owners until each has ceased, or its time is over."""
+        """Ask earlier owners until each has ceased or their leases have lapsed."""
         self.take_ceased(self.bus.address, self._known_lapses)
         give_up_at = clock.read_monotonic() + EARLIER_OWNER_S
         while self.is_active and self._ledger.earlier:
@@ -193,20 +195,20 @@
                 self.bus.send(address, "", peering.AskCeased(self.core.token))
             await tasks.sleep(self._reactor, ASK_CEASED_S)
 
-    def take_ceased(self, address, told):
-        """Take that an earlier owner gives no orders any more.
+    def take_ceased(self, address, reported):
+        """Note that an earlier owner sends no further commands.
 
         Args:
           address: A str, where it takes messages.
-          told: The lapses.Lapses that it knew of.
+          reported: The lapses.Lapses that it reported.
         """
-        if lapses.is_of_last(told, address, self._ledger.last):
-            self.core.take_lapses(told.over_at_by_id)
+        if lapses.is_of_last(reported, address, self._ledger.last):
+            self.core.take_lapses(reported.over_at_by_id)
             logs.log(
                 "earlier-leases-told",
                 token=self.core.token,
                 by=address,
-                workers=len(told.over_at_by_id),
+                workers=len(reported.over_at_by_id),
             )
         left = tuple(other for other in self._ledger.earlier if other != address)
         self._ledger.earlier = left
@@ -215,14 +217,14 @@
             self.core.note_earlier_owners_gone(clock.read_monotonic())
 
     def confirm(self):
-        """The key seems to be gone: find out, and get it back if it is free."""
+        """Check whether the key is gone, and regain it if it is free."""
         if self.is_deciding:
             self._ledger.wake(must_confirm=True)
         else:
             self.lose("the key is gone")
 
     async def _regain(self, conditions):
-        """Get the key back; the new token, or None when the cell is another's."""
+        """Regain the key; return the new token, or None if another owns the cell."""
         token = await self._claimer.regain(conditions, lambda: self.is_active)
         if token is not None and self.is_active:
             logs.log("owner-key-regained", token=token, before=self.core.token)
@@ -265,7 +267,7 @@
                 stalled_ms=stall.stalled_ms,
                 tasks=stall.waiting,
                 live=format_counts(stall.live),
-                holds=",".join(hold.value for hold in stall.holds),
+                holds=",".join(blocker.value for blocker in stall.holds),
                 workers=format_counts(stall.workers),
                 used="/".join(str(share) for share in stall.used),
             )
@@ -284,7 +286,7 @@
             )
 
     def pump(self):
-        """Carry out what was decided, and see to the next round."""
+        """Execute the decisions and schedule the next pass."""
         if not self.is_deciding:
             return
         if self.core.is_fenced:
@@ -300,7 +302,7 @@
         self._schedule_pass()
 
     def _schedule_pass(self):
-        """See to the next round, if there is reason for one."""
+        """Schedule the next scheduling pass if one is needed."""
         if self.core.needs_pass:
             wait_s = self._pass_gap_s
         elif self._needs_full_pass:
@@ -330,7 +332,7 @@
 
 
 def format_counts(count_by_kind):
-    """Format counts by members of an enum as `NAME:COUNT`, separated by commas.
+    """Format counts by enum member as `NAME:COUNT`, separated by commas.
 
     Args:
       count_by_kind: A dict of int by enum.Enum.
--- a/thornport/cell/owner/ownership.py
+++ b/thornport/cell/owner/ownership.py
@@ -1,7 +1,7 @@
-"""Becoming, being and ceasing to be the owner of a cell.
+"""The owner key of a cell: its claimer, and the states of a process towards it.
 
-The owner holds a key with a lease in the store. The revision of the key is
-its fencing token: it is higher for each later owner.
+The owner holds a key with a lease in the store. The revision of the key is its fencing
+token, which is higher for each later owner.
 """
 
 import automat
@@ -12,15 +12,15 @@
 from thornport.store import port, transactions
 
 OWNER_KEY = "thornport/cell/owner"
-# Long enough to be renewed at a slow store, short enough that urgent jobs still are in
-# time after a takeover.
+# Long enough to be renewed at a slow store, and short enough that urgent jobs are still
+# in time after a takeover.
 LEASE_TTL_MS = 1000
 RENEW_PERIOD_S = 0.25  # three tries in a lease
 RETRY_S = 0.2  # after a call that the store did not answer
 
 
 class Owner(msgspec.Struct, frozen=True):
-    """The value of the owner's key."""
+    """The value of the owner key."""
 
     name: str
     address: str
@@ -29,20 +29,20 @@
 
 
 class OwnershipState:
-    """The states of a process towards its cell.
+    """The state machine of a process towards the ownership of its cell.
 
-    A process follows until the key is free, claims it, rebuilds what the
-    earlier owner knew, decides, and follows again when it loses the key to
-    another. A key that merely ran out it gets back, and decides on.
+    A process follows until the key is free, claims it, rebuilds the state of the
+    earlier owner, decides, and follows again when it loses the key to another
+    process. It regains a key that merely expired, and goes on deciding.
 
-    One that is told to stop goes on with what it has begun, for its peers may be
-    stopping too: it decides until a successor has the key, or its time is over.
+    A process that stops goes on with what it has begun, since its peers may be
+    stopping too: it decides until a successor has the key or its deadline passes.
     """
 
     machine = automat.MethodicalMachine()
 
     def __init__(self, actions):
-        """Take what is to be done.
+        """Initialize in the state `following`.
 
         Args:
           actions: An object with `claim()`, `rebuild()`, `decide()`,
@@ -52,35 +52,35 @@
 
     @machine.state(initial=True, serialized="following")
     def following(self):
-        """Another process decides, or none."""
+        """Another process owns the cell, or none does."""
 
     @machine.state(serialized="claiming")
     def claiming(self):
-        """The key is free and is being written."""
+        """This process tries to write the key, which is free or offered."""
 
     @machine.state(serialized="rebuilding")
     def rebuilding(self):
-        """The key is ours; the records are being read."""
+        """This process holds the key and reads the records."""
 
     @machine.state(serialized="deciding")
     def deciding(self):
-        """This process decides."""
+        """This process holds the key and decides."""
 
     @machine.state(serialized="last-claiming")
     def last_claiming(self):
-        """This process stops; the key that it tries to write may become ours."""
+        """This process stops, but its open claim may still succeed."""
 
     @machine.state(serialized="last-rebuilding")
     def last_rebuilding(self):
-        """This process stops; the key is ours, the records are being read."""
+        """This process stops, but holds the key and reads the records."""
 
     @machine.state(serialized="handing-over")
     def handing_over(self):
-        """This process stops, and decides until another has the key."""
+        """This process stops, but decides until another process has the key."""
 
     @machine.state(serialized="leaving")
     def leaving(self):
-        """This process stops and claims nothing any more."""
+        """This process stops and makes no further claims."""
 
     @machine.input()
     def key_is_free(self):
@@ -88,7 +88,7 @@
 
     @machine.input()
     def key_is_offered(self):
-        """The owner wants to be replaced, or is silent."""
+        """The owner offers the cell, or is silent."""
 
     @machine.input()
     def claim_failed(self):
@@ -96,23 +96,23 @@
 
     @machine.input()
     def claim_won(self):
-        """The key is ours."""
+        """This process holds the key."""
 
     @machine.input()
     def rebuilt(self):
-        """What the earlier owner knew is known."""
+        """The state of the earlier owner has been rebuilt."""
 
     @machine.input()
     def key_is_lost(self):
-        """The key is not ours any more, or a successor has been at a worker."""
+        """Another process holds the key, or a worker has seen a higher token."""
 
     @machine.input()
     def leave(self):
-        """The process was told to stop."""
+        """The process has been asked to stop."""
 
     @machine.input()
     def deadline_passed(self):
-        """The process ends soon and gives the cell up."""
+        """The process ends soon and has to release the cell."""
 
     @machine.output()
     def _claim(self):
@@ -168,12 +168,12 @@
     handing_over.upon(key_is_free, enter=handing_over, outputs=[_confirm])
     handing_over.upon(deadline_passed, enter=leaving, outputs=[_forget, _release])
 
-    # A claim that was on its way when the time was over: nobody waits for its lease.
+    # A claim that was open at the deadline: nobody has to wait for its lease to expire.
     leaving.upon(claim_won, enter=leaving, outputs=[_release])
 
-    # What says nothing new, or comes too late to matter: the machine raises on an
-    # input that a state does not take.
-    for state, inputs in (
+    # Inputs that are redundant or too late in a state are ignored explicitly, since the
+    # state machine raises on an input that a state does not take.
+    for state, ignored_inputs in (
         (following, (claim_failed, claim_won, rebuilt, key_is_lost, deadline_passed)),
         (
             claiming,
@@ -187,20 +187,20 @@
         (leaving, (key_is_free, key_is_offered, claim_failed, rebuilt, key_is_lost)),
         (leaving, (leave, deadline_passed)),
     ):
-        for taken in inputs:
-            state.upon(taken, enter=state, outputs=[])
-    del state, inputs, taken
+        for ignored in ignored_inputs:
+            state.upon(ignored, enter=state, outputs=[])
+    del state, ignored_inputs, ignored
 
 
 class Claimer:
-    """Writes the owner's key and keeps its lease.
+    """Writes the owner key and renews its lease.
 
     Attributes:
-      is_anothers: Whether another process was found to hold the key at the last claim.
+      is_held_by_other: Whether another process held the key at the last claim.
     """
 
     def __init__(self, reactor, store, name, address):
-        """Take the ways to the store.
+        """Initialize without a key or a lease.
 
         Args:
           reactor: Twisted's reactor.
@@ -218,14 +218,14 @@
         self.is_held_by_other = False
 
     async def claim(self, revision):
-        """Try once to get the key.
+        """Try once to claim the key.
 
         Args:
-          revision: An int, of the key to be replaced; ABSENT_REVISION if free. One
-            that has run out since is claimed as a free one.
+          revision: An int, of the key to be replaced; ABSENT_REVISION if free. A key
+            that has expired since is claimed as a free one.
         Returns:
-          A bool, whether the key is ours; `owner`, `token` and `lease_id` are
-          set then.
+          A bool, whether this process holds the key; `owner`, `token` and
+          `lease_id` are set in that case.
         """
         self.is_held_by_other = False
         written = await self._write([transactions.Condition(OWNER_KEY, revision)])
@@ -235,7 +235,7 @@
         if isinstance(written, result.Success):
             return True
         error = written.failure()
-        # Refused or unknown: the key may be ours by this or an earlier claim.
+        # Refused or unknown: this or an earlier claim may have succeeded.
         may_be_ours = not isinstance(error, port.Unavailable)
         if may_be_ours and await self._find_own():
             return True
@@ -244,14 +244,14 @@
         return False
 
     async def _write(self, conditions):
-        """Write the key under a new lease; a Result, and it is taken if it is ours.
+        """Write the key under a new lease, and record it on success; return a Result.
 
         Args:
           conditions: A list of transactions.Condition.
         """
         granted = await self._store.grant_lease(LEASE_TTL_MS)
         if isinstance(granted, result.Failure):
-            # No key was written, whatever became of the lease.
+            # No key was written, whether or not the lease was granted.
             reason = granted.failure().reason
             return result.Failure(port.Unavailable(reason))
         lease_id = granted.unwrap().lease_id
@@ -267,14 +267,15 @@
         return written
 
     async def regain(self, conditions, is_current):
-        """Get the key back after its lease ran out.
+        """Regain the key after its lease expired.
 
         Args:
-          conditions: The transactions.Conditions that hold while nobody else has
-            decided.
-          is_current: A callable telling whether it is still wanted.
+          conditions: The transactions.Conditions that hold while no other process
+            has decided.
+          is_current: A callable that returns whether the key is still wanted.
         Returns:
-          An int, the new token; None when the cell is another's or not wanted.
+          An int, the new token; None if another process owns the cell or the key is
+          not wanted any more.
         """
         free = transactions.Condition(OWNER_KEY, transactions.ABSENT_REVISION)
         while is_current():
@@ -282,11 +283,11 @@
             if isinstance(written, result.Success):
                 if is_current():
                     return self.token
-                # Given up meanwhile: no successor is to wait for the new lease.
+                # Given up meanwhile: a successor must not wait for the new lease.
                 await self.release()
                 return None
             if port.is_failure(written, transactions.Refused):
-                # It may be ours by an attempt whose answer was lost.
+                # An attempt whose answer was lost may have succeeded.
                 item = written.failure().by_key.get(OWNER_KEY)
                 is_ours = item is not None and self._take_own(item)
                 return self.token if is_ours else None
@@ -300,7 +301,7 @@
         return self._take_own(read.unwrap())
 
     def _take_own(self, item):
-        """Take the key as ours if this process wrote it; a bool."""
+        """Record the key if this process wrote it; return whether it did."""
         owner = decode_owner(item.value)
         if owner is None or owner.incarnation != self.incarnation:
             return False
@@ -313,30 +314,30 @@
         self.token = token
         logs.log("owner-key-claimed", token=token, lease=owner.lease_id)
 
-    async def renew(self, is_current, take_gone):
+    async def renew(self, is_current, on_gone):
         """Renew the lease while it is wanted.
 
         Args:
-          is_current: A callable telling whether it is still wanted.
-          take_gone: A callable, called when the lease is over.
+          is_current: A callable that returns whether the key is still wanted.
+          on_gone: A callable, called when the lease has ended.
         """
         while is_current():
             lease_id = self.lease_id
             renewed = await self._store.renew_lease(lease_id)
             is_gone = port.is_failure(renewed, transactions.LeaseGone)
             if is_gone and lease_id == self.lease_id and is_current():
-                take_gone()
+                on_gone()
             await tasks.sleep(self._reactor, RENEW_PERIOD_S)
 
     async def release(self):
-        """End the lease, so that a successor need not wait for it."""
+        """End the lease, so that a successor need not wait for it to expire."""
         if self.lease_id:
             ended = await self._store.end_lease(self.lease_id)
             logs.log("owner-key-released", ok=isinstance(ended, result.Success))
 
 
 def is_key_gone(written):
-    """Tell whether a write was refused since nobody holds the key any more.
+    """Return whether a write was refused because nobody holds the key any more.
 
     Args:
       written: A Result of a write of the key.
@@ -349,7 +350,7 @@
 
 
 def decode_owner(value):
-    """Decode the owner's key.
+    """Decode the value of the owner key.
 
     Args:
       value: Bytes, empty when there is none.
--- a/thornport/cell/owner/ownership_test.py
+++ b/thornport/cell/owner/ownership_test.py
@@ -34,7 +34,7 @@
 }
 
 
-class StandingCase(unittest.TestCase):
+class OwnershipStateCase(unittest.TestCase):
     """A process, and what its standing has it do."""
 
     def setUp(self):
@@ -43,21 +43,21 @@
     def begin(self, *inputs):
         """Begin anew and give inputs; what they have done is forgotten."""
         self.actions = mock.Mock()
-        self.standing = ownership.OwnershipState(self.actions)
+        self.state_machine = ownership.OwnershipState(self.actions)
         self.give(*inputs)
         self.actions.reset_mock()
 
     def give(self, *inputs):
         """Give inputs."""
         for name in inputs:
-            getattr(self.standing, name)()
+            getattr(self.state_machine, name)()
 
     def read_actions(self):
         """The names of what was done, in order."""
         return [call[0] for call in self.actions.method_calls]
 
 
-class EveryInput(StandingCase):
+class EveryInput(OwnershipStateCase):
     """No state raises on any input."""
 
     def test_in_every_state(self):
@@ -76,7 +76,7 @@
                         self.give("leave", second, "deadline_passed", first)
 
 
-class ToldToStop(StandingCase):
+class ToldToStop(OwnershipStateCase):
     """A process goes on with what it has begun, until another has the key."""
 
     def test_owner_decides_on_until_another_has_the_key(self):
--- a/thornport/cell/owner/polling.py
+++ b/thornport/cell/owner/polling.py
@@ -1,7 +1,7 @@
-"""Looks at workers, one after the other at each: when they are sent and ended.
+"""Polls workers, one call at a time at each, and decides when to poll again.
 
-A look renews the leases of a worker and waits there for ends, so each end is
-known at once; but looks are priced, so they pause where nothing urgent runs.
+A poll renews the leases of a worker and waits there for runs to end, so each end is
+known at once. Polls have a price, so they pause where nothing urgent runs.
 """
 
 from twisted.internet import defer
@@ -9,23 +9,24 @@
 from thornport.cell.decisions import messages
 from thornport.kernel import clock, logs, tasks
 
-ACK_CHECK_PERIOD_S = 0.004  # between looks whether ends are kept
-POLL_GAP_S = 0.01  # from an answer with ends to the next look: looks are priced
-NON_URGENT_POLL_GAP_S = 0.25  # likewise, while nothing urgent runs there
-POLL_RETRY_S = 0.25  # after a second look that a worker did not answer
-# After the first: most often its answer alone was lost, and ends wait to be seen.
+ACK_CHECK_PERIOD_S = 0.004  # between checks whether the ends are persisted
+POLL_GAP_S = 0.01  # from an answer with ends to the next poll; polls have a price
+NON_URGENT_POLL_GAP_S = 0.25  # added to POLL_GAP_S while nothing urgent runs there
+POLL_RETRY_S = 0.25  # from the second poll in a row that a worker did not answer
+# After the first unanswered poll: mostly only the answer was lost, and ends wait to be
+# read.
 FIRST_POLL_RETRY_S = 0.01
-ACK_TIMEOUT_S = 0.3  # longest wait until ends are kept before the next look
-# Likewise where urgent tasks run: while the store is slow, their ends are seen sooner
-# for more looks there.
+ACK_TIMEOUT_S = 0.3  # maximum wait for the ends to be persisted before the next poll
+# Likewise where urgent tasks run: while the store is slow, more polls there detect
+# their ends sooner.
 URGENT_ACK_TIMEOUT_S = 0.1
 
 
 class Polling:
-    """Sends the looks of one ownership; it has ended when its session has."""
+    """Sends the polls of one session, until the session ends."""
 
     def __init__(self, reactor, session):
-        """Begin; nothing is sent yet.
+        """Initialize; nothing is sent yet.
 
         Args:
           reactor: Twisted's reactor.
@@ -40,22 +41,22 @@
         self._poll_by_worker = {}
 
     def poll_new_workers(self):
-        """Begin to look at the workers that are not looked at yet."""
+        """Start polling the workers that are not being polled yet."""
         for worker_id, worker in list(self._core.workers_by_id.items()):
             if worker_id not in self._poll_by_worker and worker.entry.address:
                 self._poll_by_worker[worker_id] = None
-                tasks.spawn(self._poll_worker(worker_id), f"look at {worker_id}")
+                tasks.spawn(self._poll_worker(worker_id), f"poll {worker_id}")
 
     def end_pauses(self):
-        """End all pauses, so that nothing waits on."""
+        """End all pauses, so that no poll keeps waiting."""
         for worker_id in list(self._pause_by_worker):
             self.end_pause(worker_id)
 
     async def _poll_worker(self, worker_id):
-        """Look at a worker until it is gone or this ownership has ended.
+        """Poll a worker until it is gone or the session has ended.
 
-        After an error the next search for workers that are not looked at begins anew:
-        of a worker that is never looked at again nothing ends and nothing is freed.
+        After an error, the next call of `poll_new_workers` starts again: the runs of a
+        worker that is never polled again would never end or free their capacity.
         """
         address = self._core.workers_by_id[worker_id].entry.address
         try:
@@ -65,7 +66,7 @@
             self._workers.forget(address)
 
     async def _poll_repeatedly(self, worker_id):
-        """Renew the leases of a worker and see what ended, again and again."""
+        """Renew the leases of a worker and read the ended runs, in a loop."""
         retry_s = FIRST_POLL_RETRY_S
         while self._session.is_active:
             sent_at = clock.read_monotonic()
@@ -88,7 +89,7 @@
             retry_s = FIRST_POLL_RETRY_S if is_answered else POLL_RETRY_S
 
     def poll_again(self, worker_id):
-        """End a look that waits, so that the next one is sent at once."""
+        """Cancel an open poll, so that the next one is sent at once."""
         poll = self._poll_by_worker.get(worker_id)
         if poll is not None and not poll.called:
             self._cancelled_early.add(worker_id)
@@ -101,7 +102,7 @@
         self._core.take_poll(request, sent_at, answer, now)
         if not isinstance(answer, messages.HoldAnswer):
             logs.log(
-                "look-failed",
+                "poll-failed",
                 worker=request.worker_id,
                 address=request.address,
                 outcome=type(answer).__name__,
@@ -113,7 +114,7 @@
         self._session.pump()
 
     async def _rest(self, worker_id, answer, retry_s):
-        """Wait until the next look is due."""
+        """Wait until the next poll is due."""
         if worker_id in self._cancelled_early:
             self._cancelled_early.discard(worker_id)
             return
@@ -121,7 +122,7 @@
             await tasks.sleep(self._reactor, retry_s)
             return
         if not self._core.has_answered(worker_id):
-            # It has started again: what it runs now is to be told at once.
+            # The worker restarted: poll at once to read what it runs now.
             return
         if answer.ended:
             await self._pause(worker_id)
@@ -135,7 +136,7 @@
             await tasks.sleep(self._reactor, ACK_CHECK_PERIOD_S)
 
     async def _pause(self, worker_id):
-        """Let ends gather where nothing urgent runs."""
+        """Let ends accumulate, for longer where nothing urgent runs."""
         await tasks.sleep(self._reactor, POLL_GAP_S)
         if self._core.is_urgent_at(worker_id):
             return
@@ -148,7 +149,7 @@
         )
 
     def end_pause(self, worker_id):
-        """Look at a worker again: something urgent starts there, or it is time."""
+        """End the pause of a worker: something urgent starts there, or it is over."""
         waiting = self._pause_by_worker.pop(worker_id, None)
         if waiting is not None:
             waiting.callback(None)
@@ -160,7 +161,7 @@
     Args:
       worker_id: A str.
       end: A messages.EndRow.
-      is_new: Whether it was taken; one whose number was seen before is passed over.
+      is_new: Whether its number was not seen before; known ends are ignored.
     """
     key = end.key
     logs.log(
--- a/thornport/cell/owner/succession.py
+++ b/thornport/cell/owner/succession.py
@@ -1,7 +1,7 @@
-"""To which process an owner offers its cell: pure.
+"""Selects the process to which an owner offers its cell; makes no calls.
 
-One process at a time is asked, the best by what processes tell in their greetings;
-one that does not take the key soon is passed over for the next.
+One process at a time is asked, the best by the processes' greetings. One that does not
+take the key soon is skipped for the next.
 """
 
 import math
@@ -10,41 +10,41 @@
 
 from thornport.cell.peers import candidacy
 
-# A VM with this many times the processor is worth a takeover, which costs some tenths
-# of a second; a slightly larger one is not.
+# A VM with this many times the cores is worth a takeover, which costs some tenths of a
+# second. A slightly larger VM is not.
 LARGER_FACTOR = 1.5
 # From an offer to its answer, also by a busy process.
 ANSWER_TIMEOUT_S = 0.05
-# From a yes to the loss of our key: two calls to a slow store.
+# From an accepted offer to the loss of the owner key: two calls to a slow store.
 CLAIM_TIMEOUT_S = 0.6
-# Two greetings: by then the process has told anew how it is.
+# Two greetings: by then the process has reported its state again.
 SKIP_PERIOD_S = 1.0
 
 
 class Requirements(msgspec.Struct, frozen=True):
-    """What a successor must have.
+    """The requirements on a successor.
 
     Attributes:
       own_address: A str, of the owner itself.
-      least_cores: A float, how much processor is not enough.
-      is_series: Whether processes are being stopped one after the other.
-      is_restarted: Whether only one that was started lately will do, and among those
-        only one whose VM is not much smaller than the largest.
+      cores_above: A float, the cores that its VM must exceed.
+      is_rolling_restart: Whether processes are being restarted one after another.
+      is_restarted: Whether it must have been started lately, on a VM that is not much
+        smaller than the largest.
     """
 
     own_address: str
     cores_above: float = 0.0
-    is_series: bool = False
+    is_rolling_restart: bool = False
     is_restarted: bool = False
 
 
 class OpenOffer(msgspec.Struct):
-    """An offer that may still be taken.
+    """An offer that may still be accepted.
 
     Attributes:
       address: A str, of the process that was asked.
       token: An int, the revision of the key that was offered.
-      until: A float, when it is given up.
+      until: A float, when the offer expires.
     """
 
     address: str
@@ -53,7 +53,7 @@
 
 
 class Succession:
-    """The offers of one process."""
+    """Keeps track of the offers of one process and chooses whom to ask."""
 
     __slots__ = ("_open", "_skipped_until")
 
@@ -66,14 +66,14 @@
 
         Args:
           callers: An advising.Callers.
-          wanted: A Wanted.
+          requirements: A Requirements.
           now: A float.
         Returns:
-          An advising.Caller; None while an offer is open, or when none is fit.
+          An advising.Caller; None while an offer is open or if no process is suitable.
         """
         if self._open is not None and now < self._open.until:
             return None
-        fit = [
+        suitable = [
             caller
             for caller in callers.list_staying(now)
             if caller.has_store
@@ -81,23 +81,26 @@
             and caller.cores > requirements.cores_above
             and now >= self._skipped_until.get(caller.address, -math.inf)
         ]
-        most_cores = max((caller.cores for caller in fit), default=0.0)
+        most_cores = max((caller.cores for caller in suitable), default=0.0)
         if requirements.is_restarted:
-            # Most that come back are small where most VMs are: a large one is waited
-            # for.
-            fit = [
+            # Where most VMs are small, most restarted processes are on small VMs: wait
+            # for one on a large VM.
+            suitable = [
                 caller
-                for caller in fit
-                if is_large(caller, most_cores) and is_started_lately(caller, now)
+                for caller in suitable
+                if has_comparable_cores(caller, most_cores)
+                and is_started_lately(caller, now)
             ]
         return max(
-            fit,
-            key=lambda caller: rank(caller, most_cores, requirements.is_series, now),
+            suitable,
+            key=lambda caller: rank(
+                caller, most_cores, requirements.is_rolling_restart, now
+            ),
             default=None,
         )
 
     def note_offered(self, address, token, now):
-        """Take that a process is asked.
+        """Record that a process is asked.
 
         Args:
           address: A str.
@@ -113,10 +116,10 @@
         Args:
           address: A str.
           token: An int, the revision that it was offered.
-          is_taken: A bool, whether it tries to get the key.
+          is_taken: A bool, whether it tries to claim the key.
           now: A float.
         Returns:
-          A bool, whether it says no to the offer that is open.
+          A bool, whether it refuses the open offer.
         """
         is_asked = self._open is not None and self._open.address == address
         if not is_asked or self._open.token != token:
@@ -129,36 +132,41 @@
 
 
 def is_started_lately(caller, now):
-    """Tell whether a process was started lately, an advising.Caller; a bool."""
+    """Return whether a process, an advising.Caller, was started lately."""
     return now - caller.started_at < candidacy.STARTED_LATELY_S
 
 
-def is_large(caller, most_cores):
-    """Tell whether a process' VM is not much smaller than the largest.
+def has_comparable_cores(caller, most_cores):
+    """Return whether the VM of a process is not much smaller than the largest.
 
     Args:
       caller: An advising.Caller.
-      most_cores: A float, the most processor that any has.
+      most_cores: A float, the cores of the largest VM.
     Returns:
       A bool.
     """
     return caller.cores * LARGER_FACTOR >= most_cores
 
 
-def rank(caller, most_cores, is_series, now):
+def rank(caller, most_cores, is_rolling_restart, now):
     """Rank a process as a successor.
 
-    In a series of stops, one that was started lately comes first: it has been
-    restarted already. But a much smaller VM falls behind with a large cell.
+    In a rolling restart, a process that was started lately comes first, since it has
+    been restarted already. But a much smaller VM falls behind with a large cell.
 
     Args:
-      caller: An advising.Caller that is fit.
-      most_cores: A float, the most processor that any that is fit has.
-      is_series: A bool, whether processes are being stopped one after the other.
+      caller: An advising.Caller that is suitable.
+      most_cores: A float, the cores of the largest VM of a suitable process.
+      is_rolling_restart: A bool, as in Requirements.
       now: A float.
     Returns:
-      A tuple that is greater for a better one.
+      A tuple that is greater for a better process.
     """
-    is_restarted = is_series and is_started_lately(caller, now)
-    latest = caller.started_at if is_series else 0.0
-    return (is_large(caller, most_cores), is_restarted, caller.cores, latest)
+    is_restarted = is_rolling_restart and is_started_lately(caller, now)
+    latest = caller.started_at if is_rolling_restart else 0.0
+    return (
+        has_comparable_cores(caller, most_cores),
+        is_restarted,
+        caller.cores,
+        latest,
+    )
--- a/thornport/cell/owner/succession_test.py
+++ b/thornport/cell/owner/succession_test.py
@@ -22,9 +22,9 @@
         """Let a process greet; its address is its name."""
         self.callers.greet(name, name, has_store, cores, self.now, stops, up_s)
 
-    def choose(self, cores_above=0.0, is_series=False):
+    def choose(self, cores_above=0.0, is_rolling_restart=False):
         """The name of the process that is asked next, or None."""
-        requirements = succession.Requirements(OWN, cores_above, is_series)
+        requirements = succession.Requirements(OWN, cores_above, is_rolling_restart)
         chosen = self.succession.choose(self.callers, requirements, self.now)
         return chosen and chosen.name
 
@@ -74,15 +74,17 @@
     def test_in_a_series_of_stops_a_restarted_process_is_first(self):
         self.greet("early", 1.2)
         self.greet("restarted", 1.0, up_s=1.0)
-        self.assertEqual(self.choose(is_series=True), "restarted")
-        self.assertEqual(self.choose(is_series=False), "early")
+        self.assertEqual(self.choose(is_rolling_restart=True), "restarted")
+        self.assertEqual(self.choose(is_rolling_restart=False), "early")
 
     def test_small_vm_that_was_restarted_is_not_waited_for(self):
         # On a played day of 97 VMs, 82 of them of half a core, most that came back in
         # a series of restarts were small, and one of them got the cell for 19 s.
         self.greet("large", 2.0)
         self.greet("small", 0.5, up_s=1.0)
-        requirements = succession.Requirements(OWN, is_series=True, is_restarted=True)
+        requirements = succession.Requirements(
+            OWN, is_rolling_restart=True, is_restarted=True
+        )
         self.assertIsNone(self.succession.choose(self.callers, requirements, self.now))
         self.greet("large", 2.0, up_s=1.0)
         chosen = self.succession.choose(self.callers, requirements, self.now)
@@ -92,12 +94,12 @@
         self.greet("a", up_s=900.0)
         self.greet("c", up_s=50.0)
         self.greet("b", up_s=300.0)
-        self.assertEqual(self.choose(is_series=True), "c")
+        self.assertEqual(self.choose(is_rolling_restart=True), "c")
 
     def test_restarted_process_on_a_much_smaller_vm_is_not_first(self):
         self.greet("large", 2.0)
         self.greet("restarted", 0.5, up_s=1.0)
-        self.assertEqual(self.choose(is_series=True), "large")
+        self.assertEqual(self.choose(is_rolling_restart=True), "large")
 
 
 class Answers(SuccessionCase):
