--- a/thornport/cell/decisions/advising_test.py
+++ b/thornport/cell/decisions/advising_test.py
@@ -1,4 +1,4 @@
-"""Calls for advice go to processes that can make them soon."""
+"""Tests of the assignment of calls for advice to processes."""
 
 import unittest
 
@@ -16,21 +16,21 @@
         self.greet("a", "b", "c", "d")
 
     def greet(self, *names):
-        """Let processes greet."""
+        """Make processes greet."""
         for name in names:
             self.callers.greet(name, f"10.0.0.1:{ord(name[-1])}", True, 1.0, 10.0)
 
     def choose(self, cost_s, now=10.0):
-        """The name of the process that is chosen, or None."""
+        """Return the name of the chosen process, or None."""
         given = self.callers.choose(cost_s, now)
         return given and given.caller.name
 
-    def test_long_calls_hold_up_no_short_ones(self):
+    def test_long_calls_do_not_delay_short_ones(self):
         self.assertEqual({self.choose(LONG_S), self.choose(LONG_S)}, {"a", "b"})
         self.assertEqual({self.choose(SHORT_S), self.choose(SHORT_S)}, {"c", "d"})
 
-    def test_call_waits_for_a_process_that_is_free(self):
-        # A new owner knows few processes at first; the others greet soon.
+    def test_call_waits_for_a_free_process(self):
+        # A new owner knows few processes at first; the others greet later.
         callers = [self.choose(LONG_S) for _ in range(5)]
         self.assertEqual(callers.count(None), 3)
         self.greet("b2")
@@ -43,7 +43,7 @@
         self.callers.end_call("a", 10.1)
         self.assertEqual(self.choose(LONG_S, 10.1), "a")
 
-    def test_process_without_an_answer_is_passed_over_for_a_while(self):
+    def test_process_whose_call_timed_out_is_excluded_for_a_while(self):
         self.choose(SHORT_S)
         self.callers.end_call("c", 10.0)
         self.callers.suspend_caller("c", 10.0)
@@ -51,8 +51,8 @@
         self.assertNotIn("c", names)
 
 
-class Helping(unittest.TestCase):
-    """Six processes, three of them for short calls, where many long calls wait."""
+class HelpingWithLongCalls(unittest.TestCase):
+    """Six processes, three of them for short calls, while many long calls wait."""
 
     def setUp(self):
         self.callers = advising.Callers()
@@ -60,7 +60,7 @@
             self.callers.greet(name, name, True, 1.0, 10.0)
 
     def choose(self, cost_s, now=10.0):
-        """The name of the process that is chosen, or None."""
+        """Return the name of the chosen process, or None."""
         given = self.callers.choose(cost_s, now)
         return given and given.caller.name
 
@@ -68,12 +68,12 @@
         names = [self.choose(LONG_S) for _ in range(6)]
         self.assertEqual(names, ["a", "b", "c", "d", None, None])
 
-    def test_short_calls_wait_for_no_long_one(self):
+    def test_short_calls_do_not_wait_for_long_ones(self):
         for _ in range(6):
             self.choose(LONG_S)
         self.assertEqual({self.choose(SHORT_S) for _ in range(2)}, {"e", "f"})
 
-    def test_process_helps_only_while_the_others_are_idle(self):
+    def test_process_helps_only_while_enough_others_are_idle(self):
         self.choose(SHORT_S)
         names = [self.choose(LONG_S) for _ in range(4)]
         self.assertEqual(names, ["a", "b", "c", None])
@@ -86,24 +86,24 @@
 
 
 class FailingProcess(unittest.TestCase):
-    """Four processes, and all calls of one fail at once."""
+    """Four processes; all calls of one fail immediately."""
 
-    ROUND_S = 0.05
+    INTERVAL_S = 0.05
 
     def setUp(self):
         self.callers = advising.Callers()
         self.calls = 0
 
-    def play(self, begin, seconds, cost_s, fails):
-        """Give calls to whoever is free; count those that the one process gets.
+    def simulate(self, begin, seconds, cost_s, fails):
+        """Assign calls to free processes; count those that process "a" gets.
 
         Args:
           begin, seconds, cost_s: Floats.
-          fails: A bool, whether its calls fail.
+          fails: A bool, whether the calls of process "a" fail.
         """
         self.calls = 0
-        for number in range(int(seconds / self.ROUND_S)):
-            now = begin + number * self.ROUND_S
+        for number in range(int(seconds / self.INTERVAL_S)):
+            now = begin + number * self.INTERVAL_S
             for name in "abcd":
                 self.callers.greet(name, name, True, 1.0, now)
             given = self.callers.choose(cost_s, now)
@@ -111,17 +111,18 @@
                 self.calls += 1
                 self.callers.end_call("a", now, is_answered=not fails)
 
-    # It was free again at once, so it got most calls while the others were busy.
-    def test_process_whose_calls_fail_gets_few(self):
-        self.play(10.0, 6.0, LONG_S, fails=True)
+    # A process whose calls fail is free at once and attracted most calls while the
+    # others were busy.
+    def test_process_whose_calls_fail_gets_few_calls(self):
+        self.simulate(10.0, 6.0, LONG_S, fails=True)
         self.assertLessEqual(self.calls, 5)
 
     def test_process_whose_call_is_answered_again_gets_its_share(self):
-        self.play(10.0, 6.0, LONG_S, fails=True)
-        self.play(16.0, 20.0, LONG_S, fails=False)
+        self.simulate(10.0, 6.0, LONG_S, fails=True)
+        self.simulate(16.0, 20.0, LONG_S, fails=False)
         self.assertGreater(self.calls, 20)
 
-    def test_processes_that_all_fail_get_calls(self):
+    def test_processes_get_calls_if_all_fail(self):
         for name in "abcd":
             self.callers.greet(name, name, True, 1.0, 10.0)
             self.callers.end_call(name, 10.0, is_answered=False)
@@ -139,13 +140,13 @@
             self.callers.end_call(name, 10.0, is_answered=False)
 
     def choose_all(self, cost_s):
-        """The names of the processes that are chosen until none is free, in order."""
+        """List the names of the chosen processes, in order, until none is free."""
         names = []
         while (given := self.callers.choose(cost_s, 10.0)) is not None:
             names.append(given.caller.name)
         return names
 
-    # Long calls went to those that fail alone, for ever.
+    # Long calls went only to the failing processes, forever.
     def test_processes_that_answer_are_chosen_first(self):
         self.assertEqual(self.choose_all(LONG_S), ["d", "a", "b"])
         names = self.choose_all(SHORT_S)
@@ -160,40 +161,40 @@
 
 
 class LossOfPower(unittest.TestCase):
-    """Ten processes; all steps ask at the same moment, and urgent jobs come."""
+    """Ten processes; all steps ask at the same moment while urgent jobs arrive."""
 
     LONG_CALLS = 26
     URGENT_S = 0.1  # from one urgent job to the next
-    ROUND_S = 0.005
+    INTERVAL_S = 0.005
 
     def setUp(self):
         self.callers = advising.Callers()
         self.open = []
         self.longest_s = {LONG_S: 0.0, SHORT_S: 0.0}
 
-    def play(self, seconds):
-        """Give the calls that wait, the urgent ones first, at each round."""
+    def simulate(self, seconds):
+        """Assign the waiting calls, the urgent ones first, at each interval."""
         waiting = [(LONG_S, 0.0)] * self.LONG_CALLS
         urgent_at = 0.0
-        for number in range(int(seconds / self.ROUND_S)):
-            now = number * self.ROUND_S
+        for number in range(int(seconds / self.INTERVAL_S)):
+            now = number * self.INTERVAL_S
             for name in "abcdefghij":
                 self.callers.greet(name, name, True, 1.0, now)
             if urgent_at <= now:
                 waiting.append((SHORT_S, now))
                 urgent_at += self.URGENT_S
             self.end_calls(now)
-            waiting = [call for call in sorted(waiting) if not self.give(*call, now)]
+            waiting = [call for call in sorted(waiting) if not self.assign(*call, now)]
         self.assertEqual(waiting, [])
 
     def end_calls(self, now):
-        """Take the answers that have come."""
+        """End the calls whose answers are due."""
         for due, name in [call for call in self.open if call[0] <= now]:
             self.open.remove((due, name))
             self.callers.end_call(name, now)
 
-    def give(self, cost_s, came_at, now):
-        """Give a call if a process can make it; whether it is given."""
+    def assign(self, cost_s, came_at, now):
+        """Assign a call if a process can make it; return whether it is assigned."""
         given = self.callers.choose(cost_s, now)
         if given is None:
             return False
@@ -203,17 +204,17 @@
         return True
 
     def test_long_calls_are_made_by_more_than_half(self):
-        self.play(6.0)
-        # Seven of ten make them, in four turns; five would need six.
+        self.simulate(6.0)
+        # Seven of ten processes make the calls in four turns; five would need six.
         self.assertLess(self.longest_s[LONG_S], 4 * LONG_S + 0.1)
 
-    def test_urgent_calls_wait_for_no_long_ones(self):
-        self.play(6.0)
+    def test_urgent_calls_do_not_wait_for_long_ones(self):
+        self.simulate(6.0)
         self.assertLess(self.longest_s[SHORT_S], 2 * SHORT_S)
 
 
 class Stopping(unittest.TestCase):
-    """Two processes of which one is told to stop."""
+    """Two processes, one of which is shutting down."""
 
     def setUp(self):
         self.callers = advising.Callers()
@@ -222,37 +223,37 @@
         self.greet("stops", is_stopping=True)
 
     def greet(self, name, cores=1.0, has_store=True, **more):
-        """Let a process greet; its address is its name."""
+        """Make a process greet; its address is its name."""
         return self.callers.greet(name, name, has_store, cores, 10.0, **more)
 
     def choose(self):
-        """The name of the process that is given a short call, or None."""
+        """Return the name of the process chosen for a short call, or None."""
         given = self.callers.choose(SHORT_S, 10.0)
         return given and given.caller.name
 
-    def test_process_that_stops_is_given_no_calls(self):
+    def test_stopping_process_gets_no_calls(self):
         self.assertEqual([self.choose() for _ in range(4)], ["stays"] * 3 + [None])
 
-    def test_process_that_stops_calls_only_while_nobody_else_is_left(self):
+    def test_stopping_process_gets_calls_only_if_all_are_stopping(self):
         self.greet("stays", is_stopping=True)
         self.assertIsNotNone(self.choose())
 
-    def test_process_that_stops_is_left_out_of_the_lists(self):
+    def test_stopping_process_is_not_listed(self):
         self.greet("stops", cores=9.0, is_stopping=True)
         self.assertEqual(self.callers.list_addresses(True, 10.0), ["stays"])
         self.assertEqual(self.callers.list_addresses(False, 10.0), [])
         self.assertEqual(self.callers.find_largest_cores(10.0), 1.0)
         self.assertEqual(self.callers.list_stopping(10.0), ["stops"])
 
-    def test_processes_that_stop_relay_while_nobody_else_is_left(self):
+    def test_stopping_processes_relay_if_no_others_reach_the_store(self):
         self.greet("stays", has_store=False)
         self.assertEqual(self.callers.list_addresses(True, 10.0), ["stops"])
 
-    def test_first_word_of_a_stop_is_told_from_later_ones(self):
+    def test_only_the_first_greeting_of_a_stop_is_reported_as_news(self):
         self.assertFalse(self.greet("stops", is_stopping=True))
         self.assertTrue(self.greet("stays", is_stopping=True))
 
-    def test_next_life_is_given_calls_again(self):
+    def test_next_incarnation_gets_calls_again(self):
         self.greet("stops", up_s=0.1)
         self.assertIn("stops", [self.choose() for _ in range(4)])
 
--- a/thornport/cell/decisions/asking_test.py
+++ b/thornport/cell/decisions/asking_test.py
@@ -19,16 +19,16 @@
 
 
 class Needs(unittest.TestCase):
-    """What a call brings."""
+    """The need of a call."""
 
-    def test_urgent_steps_and_overdue_ones_come_first(self):
+    def test_urgent_and_overdue_steps_come_first(self):
         for is_full in (False, True):
             with self.subTest(is_full=is_full):
                 urgent = asking.find_need(URGENT, is_overdue=False, is_full=is_full)
                 overdue = asking.find_need(USUAL, is_overdue=True, is_full=is_full)
                 self.assertEqual({urgent, overdue}, {Need.NOW})
 
-    def test_steps_of_a_full_service_wait_for_their_turn(self):
+    def test_calls_in_a_full_service_are_made_in_the_order_of_steps(self):
         start = asking.find_need(USUAL, is_overdue=False, is_full=False)
         in_turn = asking.find_need(USUAL, is_overdue=False, is_full=True)
         self.assertEqual((start, in_turn), (Need.START, Need.IN_TURN))
@@ -41,7 +41,7 @@
     def setUp(self):
         self.wanted = asking.WantedCalls()
 
-    def test_a_step_has_one_call(self):
+    def test_step_has_at_most_one_call(self):
         self.wanted.add(make_call("a", need=Need.IN_TURN))
         newer = make_call("a", need=Need.NOW)
         self.wanted.add(newer)
@@ -50,7 +50,7 @@
         self.wanted.discard(newer.step.key)
         self.assertFalse(self.wanted.has_step(newer.step.key))
 
-    def test_urgent_calls_are_listed_by_themselves(self):
+    def test_urgent_calls_can_be_listed_alone(self):
         urgent = make_call("a", URGENT)
         self.wanted.add(make_call("b"))
         self.wanted.add(urgent)
@@ -64,7 +64,7 @@
         self.shares = asking.FairShares()
 
     def make_calls(self, cost_by_queue, count):
-        """Make calls of queues that always want more; how many each made."""
+        """Make calls of queues that always want more; return the count of each."""
         calls = [make_call(name, queue.Queue(name)) for name in cost_by_queue]
         made = dict.fromkeys(cost_by_queue, 0)
         for _ in range(count):
@@ -73,21 +73,21 @@
             made[name] += 1
         return made
 
-    # Long calls of one queue kept all others waiting.
+    # Long calls of one queue delayed the calls of all others.
     def test_queue_of_short_calls_makes_more_of_them(self):
         made = self.make_calls({"dear": 0.5, "usual": 0.125}, 100)
         self.assertEqual(made, {"dear": 20, "usual": 80})
 
-    def test_queue_that_asked_for_nothing_gets_no_more_for_it_later(self):
+    def test_idle_queue_earns_no_credit(self):
         self.make_calls({"dear": 0.5}, 100)
         made = self.make_calls({"dear": 0.5, "usual": 0.5}, 10)
         self.assertEqual(made, {"dear": 5, "usual": 5})
 
-    def test_need_goes_before_the_share_and_rank_goes_last(self):
+    def test_calls_are_ordered_by_need_then_share_then_rank(self):
         self.shares.charge("dear", 9.0)
         needy = make_call("a", need=Need.NOW)
         self.assertIs(self.shares.choose([make_call("b", USUAL), needy]), needy)
-        # In a full service the order of the steps stands.
+        # In a full service, calls follow the order of the steps.
         first = make_call("c", need=Need.IN_TURN, rank=(1, 0))
         second = make_call("d", USUAL, need=Need.IN_TURN, rank=(2, 0))
         self.assertIs(self.shares.choose([second, first]), first)
--- a/thornport/cell/decisions/polls_test.py
+++ b/thornport/cell/decisions/polls_test.py
@@ -1,4 +1,4 @@
-"""How long looks wait, by what runs at a worker and whether answers are lost."""
+"""Tests of how long polls wait, and of polls that break off."""
 
 import unittest
 
@@ -10,8 +10,8 @@
 LARGE = queue.Queue("large", service="press-desk", priority=1)
 
 
-class Waits(unittest.TestCase):
-    """One worker that runs a task."""
+class PollWaits(unittest.TestCase):
+    """The wait of polls of one worker, by what it runs and whether answers are lost."""
 
     def setUp(self):
         self.now = 10.0
@@ -22,66 +22,67 @@
         self.core.take_worker(entry, 1, self.now)
         self.answer()
 
-    def look(self):
-        """Make the next look, a messages.HoldRequest."""
+    def poll(self):
+        """Make the next poll, a messages.HoldRequest."""
         return self.core.make_poll("w1", self.now)
 
     def answer(self):
-        """Answer a look at once."""
-        request = self.look()
+        """Answer a poll at once."""
+        request = self.poll()
         answer = messages.HoldAnswer(int(self.now * 1000), [], [])
         self.core.take_poll(request, self.now, answer, self.now)
 
-    def lose(self, after_s):
-        """Lose the answer to a look, which is known some time later."""
-        request, sent_at = self.look(), self.now
+    def lose_answer(self, after_s):
+        """Lose the answer to a poll; the owner notices after after_s."""
+        request, sent_at = self.poll(), self.now
         self.now += after_s
         lost = messages.Unanswered("lost")
         self.core.take_poll(request, sent_at, lost, self.now)
 
-    def run_task(self, kept_queue):
+    def run_task(self, job_queue):
         """Start a task of a queue."""
         job = spec.Job("text", (spec.Step(1, spec.Demand(1000, 10, 0), 500),))
-        self.core.take_job(record.JobRecord("a", kept_queue, job, 0), self.now)
+        self.core.take_job(record.JobRecord("a", job_queue, job, 0), self.now)
         self.core.place(self.now)
         self.core.take_kept(self.core.make_batch(), self.now, self.now)
 
-    def test_lost_answer_makes_looks_at_urgent_work_short(self):
+    def test_lost_answer_shortens_polls_of_urgent_work(self):
         self.run_task(URGENT)
-        self.assertEqual(self.look().wait_ms, polls.POLL_WAIT_MS)
-        self.lose(1.0)
+        self.assertEqual(self.poll().wait_ms, polls.POLL_WAIT_MS)
+        self.lose_answer(1.0)
         self.answer()
-        self.assertEqual(self.look().wait_ms, polls.LOSSY_WAIT_MS)
+        self.assertEqual(self.poll().wait_ms, polls.LOSSY_WAIT_MS)
         self.now += polls.LOSSY_S + 0.1
-        self.assertEqual(self.look().wait_ms, polls.POLL_WAIT_MS)
+        self.assertEqual(self.poll().wait_ms, polls.POLL_WAIT_MS)
 
-    def test_looks_at_other_work_stay_long(self):
+    def test_lost_answer_does_not_shorten_polls_of_other_work(self):
         self.run_task(LARGE)
-        self.lose(1.0)
+        self.lose_answer(1.0)
         self.answer()
-        self.assertEqual(self.look().wait_ms, polls.POLL_WAIT_MS)
+        self.assertEqual(self.poll().wait_ms, polls.POLL_WAIT_MS)
 
-    def test_worker_that_was_silent_for_long_shows_no_lost_answers(self):
+    def test_long_silence_does_not_count_as_a_lost_answer(self):
         self.run_task(URGENT)
-        self.lose(1.0)
+        self.lose_answer(1.0)
         self.now += polls.LOST_ANSWER_S + 0.1
         self.answer()
-        self.assertEqual(self.look().wait_ms, polls.POLL_WAIT_MS)
+        self.assertEqual(self.poll().wait_ms, polls.POLL_WAIT_MS)
 
 
-class BrokenOff(unittest.TestCase):
-    """Whether a worker was there until a look at it broke off."""
+class BrokenOffPolls(unittest.TestCase):
+    """Whether a worker was alive until a poll of it broke off."""
 
     broken_off = messages.Unanswered("reset", is_broken_off=True)
 
-    def test_look_that_waited_there(self):
+    def test_poll_that_waited_at_the_worker_broke_off(self):
         self.assertTrue(polls.has_broken_off(self.broken_off, 10.0, 10.5))
 
-    # A worker lost power without a word a second before, and a run of then seemed long.
-    def test_look_on_a_connection_that_the_worker_has_forgotten(self):
+    # A worker had lost power without notice a second before. Taking the reset for the
+    # time of its loss made its run appear longer than it was.
+    def test_poll_reset_at_once_did_not_break_off(self):
         self.assertFalse(polls.has_broken_off(self.broken_off, 10.0, 10.01))
 
-    def test_look_that_timed_out_or_was_refused(self):
+    def test_poll_that_timed_out_or_was_refused_did_not_break_off(self):
         for answer in (
             messages.Unanswered("timeout"),
             messages.NotReached("refused", is_refused=True),
--- a/thornport/cell/decisions/stalls_test.py
+++ b/thornport/cell/decisions/stalls_test.py
@@ -1,4 +1,4 @@
-"""Tests of the clock of a step that stands still, and of what is told of it."""
+"""Tests of the stall clock of a step, of its blockers and of its reports."""
 
 import random
 import unittest
@@ -11,7 +11,7 @@
 
 
 def make_worker(worker_id="w0"):
-    """Make a worker that has answered a second ago."""
+    """Make a worker that answered a second ago."""
     entry = messages.WorkerEntry(
         worker_id, "10.0.0.1:1", "press-desk", "h1", messages.WorkerState.READY,
         spec.Demand(8000, 1000, 2),
@@ -19,8 +19,8 @@
     return model.Worker(entry, NOW, is_heard=True, heard_at=NOW - 1)
 
 
-class Clock(unittest.TestCase):
-    """Since when a step counts as standing still."""
+class StallClock(unittest.TestCase):
+    """Since when a step counts as stalled."""
 
     def setUp(self):
         self.worker = make_worker()
@@ -38,16 +38,16 @@
         self.step.live_by_index[0] = self.run
 
     def read_idle_since(self):
-        """Note the step as a round does; since when it stands still."""
+        """Update the step as a pass does; return since when it is stalled."""
         stalls.record_job_work(self.job, {"w0": self.worker}, NOW)
         stalls.update_idle_since(self.job, self.step, NOW)
         return self.step.idle_since
 
-    def test_run_at_a_worker_that_answers_stops_it(self):
+    def test_run_at_an_answering_worker_stops_the_clock(self):
         self.assertIsNone(self.read_idle_since())
 
-    # Such runs stopped the clock for as long as they might live.
-    def test_run_that_is_not_known_to_go_on_does_not(self):
+    # Runs in other states stopped the clock for as long as they might live.
+    def test_run_not_known_to_be_running_does_not_stop_the_clock(self):
         for state in set(model.RunState) - {model.RunState.RUNNING}:
             with self.subTest(state=state):
                 self.run.state = state
@@ -68,15 +68,15 @@
         stalls.update_idle_since(self.job, self.step, NOW + 1)
         self.assertEqual(self.step.idle_since, NOW)
 
-    # Two tasks of a step that lasts had one clock, which each start began anew.
-    def test_each_task_that_lasts_counts_by_itself(self):
+    # Two tasks of a lasting step shared one clock, which each start reset.
+    def test_each_lasting_task_has_a_clock_of_its_own(self):
         lasting = spec.Step(2, spec.Demand(1000), lasting=True)
         step = model.StepState(self.step.key, lasting, waiting={0})
         stalls.update_idle_since(self.job, step, NOW)
         step.waiting = {1}
         stalls.update_idle_since(self.job, step, NOW + 1)
         self.assertEqual(step.idle_since, NOW + 1)
-        # The start of the first one was refused.
+        # The start of the first task was refused.
         step.waiting = {0, 1}
         stalls.update_idle_since(self.job, step, NOW + 2)
         self.assertEqual(step.idle_since, NOW)
@@ -89,7 +89,7 @@
         stalls.update_idle_since(self.job, self.step, NOW + 1)
         self.assertEqual(self.step.idle_since, NOW)
 
-    def test_start_is_in_time_also_where_advice_takes_long(self):
+    def test_grace_is_shorter_where_advice_takes_long(self):
         self.step.idle_since = NOW
         for advice_s, left_s in ((0.0, 1.8), (0.4, 1.8), (0.8, 1.1), (9.0, 0.5)):
             with self.subTest(advice_s=advice_s):
@@ -99,7 +99,7 @@
                 self.assertTrue(stalls.is_past_grace(self.step, advice_s, late))
 
 
-class Polls(unittest.TestCase):
+class WorkerBlockers(unittest.TestCase):
     """What keeps a step from a worker."""
 
     def setUp(self):
@@ -107,39 +107,41 @@
         key = messages.StepKey("a", 0, 0)
         self.step = model.StepState(key, spec.Step(1, spec.Demand(1000)), waiting={0})
 
-    def find(self, needs_ticket=True):
-        """Find the hold."""
+    def find_blocker(self, needs_ticket=True):
+        """Find the blocker of the step on the worker."""
         return stalls.find_worker_blocker(
             self.step, self.worker, None, needs_ticket, NOW
         )
 
-    def test_each_is_told_by_its_name(self):
-        self.assertIs(self.find(needs_ticket=False), eligibility.WorkerBlocker.NONE)
-        self.assertIs(self.find(), eligibility.WorkerBlocker.NOT_ASKED)
+    def test_first_blocker_is_found(self):
+        self.assertIs(
+            self.find_blocker(needs_ticket=False), eligibility.WorkerBlocker.NONE
+        )
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.NOT_ASKED)
         self.step.asked_ids.add("w0")
-        self.assertIs(self.find(), eligibility.WorkerBlocker.NO_TICKET)
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.NO_TICKET)
         self.step.tickets_by_worker["w0"] = ("t", NOW + 1)
-        self.assertIs(self.find(), eligibility.WorkerBlocker.NONE)
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.NONE)
         key = messages.TaskKey("b", 0, 0, 0)
         filler = spec.Step(1, spec.Demand(7500))
         self.worker.add_run(model.Run(key, 1, "w0", filler, model.RunState.RUNNING))
-        self.assertIs(self.find(), eligibility.WorkerBlocker.FULL)
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.FULL)
         self.worker.suspect(NOW + 1)
-        self.assertIs(self.find(), eligibility.WorkerBlocker.SUSPECT)
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.SUSPECT)
         self.worker.avoid(NOW + 1)
-        self.assertIs(self.find(), eligibility.WorkerBlocker.SILENT)
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.SILENT)
         self.worker.doubted_at = NOW
-        self.assertIs(self.find(), eligibility.WorkerBlocker.UNDESCRIBED)
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.UNDESCRIBED)
         self.worker.is_heard = False
-        self.assertIs(self.find(), eligibility.WorkerBlocker.UNHEARD)
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.UNHEARD)
         self.worker.is_listed = False
-        self.assertIs(self.find(), eligibility.WorkerBlocker.UNLISTED)
+        self.assertIs(self.find_blocker(), eligibility.WorkerBlocker.UNLISTED)
 
 
-class Told(unittest.TestCase):
-    """A step that stands still is told once for its reasons."""
+class Reports(unittest.TestCase):
+    """A stalled step is reported once for the same reasons."""
 
-    def test_it_is_told_again_only_when_the_reasons_change(self):
+    def test_stall_is_reported_again_only_when_its_reasons_change(self):
         world = cellworld.World(cellworld.Faults(random.Random(1)), worker_count=1)
         world.run(0.5)
         (worker,) = world.owner.workers_by_id.values()
--- a/thornport/cell/decisions/ticketing_test.py
+++ b/thornport/cell/decisions/ticketing_test.py
@@ -1,8 +1,8 @@
-"""Whom advice is asked about in a cell of hundreds of workers.
+"""Tests of which workers calls for advice name in a cell of hundreds of workers.
 
-The load is that of a large deployment: 270 workers, some 50 urgent jobs of three tasks
-a second, each of 16 cores; gangs of 20 tasks of 18 cores, whose call for advice takes
-0.6 s and 8.6 ms more for each worker named, while its tickets hold for 1.5 s.
+The load is that of a large deployment: 270 workers, about 50 urgent jobs a second of
+three tasks of 16 cores each, and gangs of 20 tasks of 18 cores, whose call for advice
+takes 0.6 s plus 8.6 ms for each worker named, while its tickets are valid for 1.5 s.
 """
 
 import unittest
@@ -48,7 +48,7 @@
         self.greet()
 
     def add_worker(self, worker_id, number):
-        """Let a worker be listed and answer."""
+        """List a worker and answer its first poll."""
         entry = messages.WorkerEntry(
             worker_id, f"a:{number}", "press", "h", messages.WorkerState.READY, ROOM
         )
@@ -58,42 +58,42 @@
         self.core.take_poll(request, self.now, answer, self.now)
 
     def greet(self):
-        """Let the processes that call for advice greet."""
+        """Make the processes that call for advice greet."""
         for number in range(CALLERS):
             name = f"p{number}"
             self.core.callers.greet(name, name, True, 1.0, self.now)
 
-    def submit(self, job_id, kept_queue, step):
+    def submit(self, job_id, job_queue, step):
         """Take an accepted job of one step."""
-        kept = record.JobRecord(job_id, kept_queue, spec.Job("text", (step,)), 0)
-        self.core.take_job(kept, self.now)
+        job_record = record.JobRecord(job_id, job_queue, spec.Job("text", (step,)), 0)
+        self.core.take_job(job_record, self.now)
 
     def place(self, only_urgent=False):
-        """Do a round and keep what it decided; returns the orders."""
+        """Run a scheduling pass and persist its decisions; return the commands."""
         self.core.place(self.now, only_urgent)
         while (batch := self.core.make_batch()) is not None:
             self.core.take_kept(batch, self.now, self.now)
         return self.core.take_orders()
 
-    def list_calls(self, orders):
-        """The ids that each call for advice among orders names."""
+    def list_calls(self, commands):
+        """Return the worker ids that each call for advice among commands names."""
         return [
-            set(order.request.worker_ids)
-            for order in orders
-            if isinstance(order, ticketing.CallAdvice)
+            set(command.request.worker_ids)
+            for command in commands
+            if isinstance(command, ticketing.CallAdvice)
         ]
 
-    def answer(self, orders, is_good):
-        """Answer the calls among orders; each tells of the workers that are good."""
-        for order in orders:
-            if isinstance(order, ticketing.CallAdvice):
+    def answer(self, commands, is_good):
+        """Answer the calls among commands, each with tickets for its good workers."""
+        for command in commands:
+            if isinstance(command, ticketing.CallAdvice):
                 good = tuple(
                     messages.Ticket(worker_id, "t")
-                    for worker_id in order.request.worker_ids
+                    for worker_id in command.request.worker_ids
                     if is_good(worker_id)
                 )
                 answer = messages.AdviceAnswer(good, 1500)
-                self.core.take_advice(order.request, answer, self.now)
+                self.core.take_advice(command.request, answer, self.now)
 
     def fill_cell(self):
         """Run a task at each worker, so that no gang has room."""
@@ -102,15 +102,15 @@
         self.assertEqual(len(self.place()), count)
 
 
-class Listed(LargeCell):
-    """Workers that were listed a moment ago.
+class SharedLists(LargeCell):
+    """Passes and incoming jobs share a recent list of workers.
 
-    At 3,000 workers and 600 jobs a second a list for each job that came, and for each
-    round of urgent steps, was more than a core does; an owner fell silent under it.
+    At 3,000 workers and 600 jobs a second, a list for each incoming job and for each
+    urgent pass took more than one core, and an owner fell silent.
     """
 
     def count_checks(self, act):
-        """How many workers are checked for being listed while something is done."""
+        """Count how many workers are checked for being listed during a call of act."""
         with mock.patch.object(
             eligibility, "is_allowed", side_effect=eligibility.is_allowed
         ) as checked:
@@ -118,18 +118,18 @@
         return checked.call_count
 
     def take_incoming(self, count):
-        """Let jobs come that are being kept."""
+        """Submit jobs whose records are not durable yet."""
         for number in range(count):
             step = spec.Step(3, SMALL_TASK, 800)
             job = spec.Job("text", (step,))
-            kept = record.JobRecord(f"incoming-{number}", URGENT, job, 0)
-            self.core.take_incoming(kept, self.now)
+            job_record = record.JobRecord(f"incoming-{number}", URGENT, job, 0)
+            self.core.take_incoming(job_record, self.now)
 
-    def test_jobs_that_come_share_a_list(self):
+    def test_incoming_jobs_share_a_list(self):
         self.assertEqual(self.count_checks(lambda: self.take_incoming(50)), WORKERS)
         self.assertTrue(self.list_calls(self.core.take_orders()))
 
-    def test_urgent_rounds_share_the_list_of_a_round_for_all(self):
+    def test_urgent_passes_share_the_list_of_a_full_pass(self):
         self.submit("a", URGENT, spec.Step(3, SMALL_TASK, 800))
         self.assertEqual(self.count_checks(self.place), WORKERS)
         self.now += 0.01
@@ -140,7 +140,7 @@
             self.count_checks(lambda: self.place(only_urgent=True)), WORKERS
         )
 
-    def test_worker_that_has_gone_since_gets_nothing(self):
+    def test_dropped_worker_gets_no_starts(self):
         self.submit("a", URGENT, spec.Step(3, SMALL_TASK, 800))
         first = self.place()
         (asked,) = self.list_calls(first)
@@ -150,14 +150,14 @@
             self.core.drop_worker(worker_id, self.now)
         starts = self.place(only_urgent=True)
         self.assertEqual(len(starts), 3)
-        self.assertFalse({order.worker_id for order in starts} & set(gone))
+        self.assertFalse({command.worker_id for command in starts} & set(gone))
 
 
-class FewSuited(LargeCell):
-    """A step that fewer workers suit than are looked at in a round."""
+class FewSuitableWorkers(LargeCell):
+    """A step with fewer suitable workers than a pass scans."""
 
-    def test_each_worker_is_looked_at_in_its_turn(self):
-        """One of 270 has accelerators, and 20 are looked at in a round."""
+    def test_all_workers_are_scanned_over_several_passes(self):
+        """One of 270 workers has accelerators, and a pass scans 20."""
         ready = messages.WorkerState.READY
         room = spec.Demand(64_000, 262_144, 8)
         entry = messages.WorkerEntry("w077", "a:77", "press", "h", ready, room)
@@ -170,11 +170,11 @@
         self.assertIn("w077", set().union(*calls))
 
 
-class Urgent(LargeCell):
-    """Jobs of three tasks, several at the same time."""
+class UrgentJobs(LargeCell):
+    """Urgent jobs of three tasks, several at the same time."""
 
     def submit_some(self, count):
-        """Take some urgent jobs, and place; returns the orders."""
+        """Submit urgent jobs and run a scheduling pass; return the commands."""
         for number in range(count):
             step = spec.Step(3, SMALL_TASK, 800)
             self.submit(f"{number:016x}", URGENT, step)
@@ -185,7 +185,7 @@
         wanted = ticketing.ASKED_BASE + 3 * ticketing.ASKED_PER_TASK
         self.assertEqual(len(asked), wanted)
 
-    def test_jobs_of_one_moment_do_not_ask_for_the_same_workers(self):
+    def test_simultaneous_jobs_ask_about_different_workers(self):
         calls = self.list_calls(self.submit_some(8))
         self.assertEqual(len(calls), 8)
         self.assertGreater(len(set.union(*calls)), 4 * len(calls[0]))
@@ -202,7 +202,7 @@
         self.assertEqual(len(free), 10)
         self.assertLess(free, asked)
 
-    def test_job_starts_by_the_first_answer_if_a_third_are_good(self):
+    def test_job_starts_after_the_first_answer_if_a_third_are_good(self):
         self.answer(self.submit_some(1), lambda worker_id: int(worker_id[1:]) % 3 == 0)
         starts = [o for o in self.place() if isinstance(o, messages.StartOrder)]
         self.assertEqual(len(starts), 3)
@@ -218,12 +218,12 @@
         self.assertEqual(more & asked, set())
 
     def fill_worker(self, worker_id):
-        """Let a worker have no room."""
+        """Leave no room on a worker."""
         worker = self.core.workers_by_id[worker_id]
         worker.used, worker._free = worker.entry.total, None
 
 
-class Wide(LargeCell):
+class WideGang(LargeCell):
     """A gang that waits for room."""
 
     def setUp(self):
@@ -232,24 +232,25 @@
         self.submit("gang", WIDE, spec.Step(20, WIDE_TASK, ESTIMATE_MS, gang=True))
         self.first = self.place()
 
-    def test_as_many_as_may_be_are_asked_about_at_once(self):
+    def test_first_call_names_the_maximum_of_workers(self):
         (asked,) = self.list_calls(self.first)
         self.assertEqual(len(asked), advising.MAX_ASKED_WORKERS)
 
-    def test_no_more_are_asked_about_once_enough_are_good(self):
-        # 20 tasks, three to a worker: 7 workers hold it, and 45 are three times more.
+    def test_no_more_workers_are_asked_about_once_enough_are_good(self):
+        # 20 tasks at three per worker fit on 7 workers; half of the named workers hold
+        # more than three times as many.
         self.answer(self.first, lambda worker_id: int(worker_id[1:]) % 2 == 0)
         self.greet()
         self.assertEqual(self.list_calls(self.place()), [])
 
-    def test_more_are_asked_about_while_too_few_are_good(self):
+    def test_more_workers_are_asked_about_while_too_few_are_good(self):
         self.answer(self.first, lambda worker_id: worker_id.endswith("0"))
         self.greet()
         (more,) = self.list_calls(self.place())
         (asked,) = self.list_calls(self.first)
         self.assertEqual(more & asked, set())
 
-    def test_only_the_good_are_asked_about_again_before_the_room_comes(self):
+    def test_only_tickets_of_good_workers_are_renewed_before_room_is_expected(self):
         self.answer(self.first, lambda worker_id: int(worker_id[1:]) % 2 == 0)
         self.now += ESTIMATE_MS / 1000 - 1.0
         self.greet()
@@ -266,27 +267,27 @@
         self.assertEqual(renewed, {w for w in asked if int(w[1:]) % 2 == 0})
 
 
-class LongCalls(LargeCell):
-    """More calls are wanted, for gangs without room and for cheaper jobs with room."""
+class LongCallPriority(LargeCell):
+    """More calls are wanted than can be made, by gangs without room and small jobs."""
 
     LONG_CALLERS = CALLERS // 2
 
-    def list_asked(self, orders):
-        """The job ids of the calls for advice among orders, in order."""
+    def list_asked(self, commands):
+        """Return the job ids of the calls for advice among commands, in order."""
         return [
-            order.request.step.job_id
-            for order in orders
-            if isinstance(order, ticketing.CallAdvice)
+            command.request.step.job_id
+            for command in commands
+            if isinstance(command, ticketing.CallAdvice)
         ]
 
     def fill_workers(self, count):
-        """Leave room for tasks of cheaper jobs alone at some workers."""
+        """Leave room only for tasks of the cheap queue at some workers."""
         taken = spec.Demand(50_000, 200_000, 0)
         self.submit("full", FILLER, spec.Step(count, taken, ESTIMATE_MS))
         self.place()
 
     def submit_all(self):
-        """Hand in more jobs of either queue than there are processes."""
+        """Submit more jobs of each queue than there are processes."""
         for number in range(CALLERS):
             gang = spec.Step(
                 WORKERS, WIDE_TASK, ESTIMATE_MS, gang=True, max_per_worker=1
@@ -295,15 +296,15 @@
             small = spec.Step(20, spec.Demand(2_000, 2_000, 0), 3000)
             self.submit(f"cheap-{number}", CHEAP, small)
 
-    # Cheaper jobs got their advice first and took the room that gangs waited for.
-    def test_dearer_steps_come_first_in_a_full_service(self):
+    # Jobs of lower priority got their advice first and took the room of waiting gangs.
+    def test_steps_of_higher_priority_come_first_in_a_full_service(self):
         self.fill_workers(WORKERS)
         self.submit_all()
         asked = self.list_asked(self.place())
         first = [f"gang-{number}" for number in range(self.LONG_CALLERS)]
         self.assertEqual(asked, first)
 
-    # Steps of an idle service waited for advice behind gangs that had no room.
+    # In an idle service, steps waited for advice behind gangs that had no room.
     def test_steps_with_room_come_first_in_a_service_that_is_not_full(self):
         self.fill_workers(WORKERS // 2)
         self.submit_all()
@@ -312,16 +313,16 @@
         self.assertEqual({job_id.split("-")[0] for job_id in asked}, {"cheap"})
 
 
-class UrgentRounds(LargeCell):
-    """Rounds for urgent steps alone, between those for all."""
+class UrgentPasses(LargeCell):
+    """Scheduling passes for urgent steps alone, between full passes."""
 
-    def test_they_place_what_a_round_for_all_would_and_nothing_else(self):
+    def test_urgent_pass_starts_urgent_steps_and_no_others(self):
         self.submit("late", FILLER, spec.Step(4, SMALL_TASK, 800))
         self.submit("soon", URGENT, spec.Step(3, SMALL_TASK, 800))
         self.answer(self.place(only_urgent=True), lambda worker_id: True)
-        started = [order.key.job_id for order in self.place(only_urgent=True)]
+        started = [command.key.job_id for command in self.place(only_urgent=True)]
         self.assertEqual(started, ["soon"] * 3)
-        started = [order.key.job_id for order in self.place()]
+        started = [command.key.job_id for command in self.place()]
         self.assertEqual(started, ["late"] * 4)
 
 
