--- a/thornport/cell/decisions/polls.py
+++ b/thornport/cell/decisions/polls.py
@@ -179,7 +179,7 @@
         self._stop_stalled_runs(worker, now)
 
     def _stop_stalled_runs(self, worker, now):
-        """Suspect a worker on which all tasks are stalled, and stop them there."""
+        """Suspect a worker on which all tasks stall, and stop those not of gangs."""
         running = [
             run
             for run in worker.runs_by_key.values()
