--- a/thornport/cell/owner/following_test.py
+++ b/thornport/cell/owner/following_test.py
@@ -1,8 +1,7 @@
-"""What the owner takes from the store alone: cancels, and the entries of workers.
+"""The owner follows cancels and worker entries by the store alone, in simulated time.
 
-In simulated time: the word of the process that took a cancel is lost, and so is the
-answer to the watch that the owner has open just then. Among the entries of workers are
-some that other writers made.
+The message about a cancel from the process that took it is lost, and so is the answer
+to the watch that is open then. Some worker entries were made by other writers.
 """
 
 import types
@@ -21,15 +20,17 @@
 from thornport.store import transactions
 
 STEP_S = 0.01
-CANCEL_S = 3.0  # from the acknowledgement of a cancel on, the least of the users
+CANCEL_S = (
+    3.0  # from the acknowledgement of a cancel; the shortest of the users' limits
+)
 CANCEL = store.WireItem(record.CANCEL_PREFIX + "a", "MQ==", 8)
 
 
 class SilentCalls:
-    """Calls of which the first answers are lost, and then the store tells of a cancel.
+    """Calls whose first answers are lost; later answers report a cancel.
 
     Attributes:
-      silent: An int, how many answers of watches are lost yet.
+      silent: An int, how many answers of watches are still to be lost.
     """
 
     def __init__(self, reactor, silent):
@@ -37,7 +38,7 @@
         self.silent = silent
 
     def call(self, address, method, path, body, patience, on_bytes=None, on_late=None):
-        """Lose the answer, or give that of a watch."""
+        """Lose the answer, or return the events of a watch."""
         if not self.silent:
             events = store.WireEvents([CANCEL], CANCEL.rev)
             answer = httpcalls.Answer(200, msgspec.json.encode(events))
@@ -50,7 +51,7 @@
 
 
 class Session:
-    """An ownership that notes the cancels that it is told of."""
+    """A session that records the cancels it takes."""
 
     def __init__(self, reactor, calls):
         client = store.StoreClient(calls, "10.0.0.1:1", 0.6, metrics.Metrics())
@@ -61,7 +62,7 @@
         self.cancelled_at_by_id = {}
 
     def take_cancel(self, job_id, now):
-        """Note a cancel."""
+        """Record when a cancel was first taken."""
         self.cancelled_at_by_id.setdefault(job_id, self._reactor.seconds())
 
     def pump(self):
@@ -69,23 +70,23 @@
 
 
 class CancelInTheStore(unittest.TestCase):
-    """The owner follows the store, and has no other word of the cancel."""
+    """The owner learns of a cancel from the store alone."""
 
-    def test_watch_that_falls_silent_is_asked_again_in_time(self):
+    def test_unanswered_watch_is_sent_again_in_time(self):
         reactor = task.Clock()
         session = Session(reactor, SilentCalls(reactor, silent=1))
         followed = following.Following(reactor, session)
         followed._follow(
             record.INBOX_PREFIX, 7, followed._take_inbox, followed._take_inbox_change
         )
-        # The cancel is acknowledged as the watch that falls silent begins.
+        # The cancel is acknowledged when the unanswered watch starts.
         reactor.pump([STEP_S] * int(CANCEL_S / STEP_S))
         followed.stop()
         self.assertEqual(list(session.cancelled_at_by_id), ["a"])
 
 
 class CoreSession:
-    """An ownership with a core, which is told of workers."""
+    """A session with a core that takes workers."""
 
     def __init__(self):
         self.core = core.CellCore(1, 0.0, 17.0, 120.0)
@@ -104,7 +105,7 @@
 
 
 class ForeignEntries(unittest.TestCase):
-    """Entries that can't be decoded cost nothing beside them, and one line each."""
+    """Entries that can't be decoded affect no other entry, and are logged once each."""
 
     def setUp(self):
         self.session = CoreSession()
@@ -121,16 +122,16 @@
         return transactions.Item(key, msgspec.json.encode(entry), revision)
 
     def count_lines(self):
-        """How many lines tell of an entry that was left out."""
+        """Return how many log lines report an undecodable entry."""
         events = [call.args[0] for call in self.log.call_args_list]
         return events.count("worker-entry-undecodable")
 
     def list_usable(self):
-        """The ids of workers that get starts, once they have answered."""
+        """Return the IDs of the listed workers, which get starts once they answer."""
         workers_by_id = self.core.workers_by_id
         return sorted(w.worker_id for w in workers_by_id.values() if w.is_listed)
 
-    def test_page_with_entries_of_others(self):
+    def test_undecodable_entries_are_omitted_and_logged_once(self):
         garbage = transactions.Item("servers/x", b"\xff\xfe", 4)
         items = [
             self.make_item(1, 2),
@@ -144,7 +145,7 @@
         self.assertEqual(self.list_usable(), ["i-1", "i-4"])
         self.assertEqual(self.count_lines(), 2)
 
-    def test_entry_of_a_worker_goes_bad_and_good_again(self):
+    def test_worker_is_dropped_while_its_entry_is_undecodable(self):
         self.followed._take_workers([self.make_item(1, 2), self.make_item(2, 3)])
         bad = self.make_item(1, 4, slots="many")
         change = transactions.Change(bad.key, bad.value, bad.revision)
--- a/thornport/cell/owner/holding_test.py
+++ b/thornport/cell/owner/holding_test.py
@@ -1,4 +1,4 @@
-"""How a process comes to own its cell and ceases to, with the store played."""
+"""A process claims and gives up the ownership of its cell, with a fake store."""
 
 import unittest
 from unittest import mock
@@ -17,7 +17,7 @@
 
 
 class HoldingCase(unittest.TestCase):
-    """A process that the store answers, and a claimer that does as a test says."""
+    """A process that the store answers, with a claimer that a test controls."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -36,7 +36,7 @@
         self.holding.start()
 
     def make_claimer(self, *_):
-        """Make a claimer whose claims are answered as `answers` says."""
+        """Make a claimer whose claims succeed or fail as listed in `answers`."""
         self.answers = [True]
         self.claimer = mock.Mock(
             incarnation=OWN.incarnation, owner=OWN, token=TOKEN, is_held_by_other=False
@@ -47,7 +47,7 @@
         return self.claimer
 
     def make_session(self, *_):
-        """Make a session that reads its records until a test ends it."""
+        """Make a session that reads records until a test ends the reading."""
         self.reading = defer.Deferred()
         session = mock.Mock(is_deciding=False)
         session.rebuild.side_effect = lambda _: self.reading
@@ -55,27 +55,27 @@
         return session
 
     def follow_key(self, reactor, store, key, on_value):
-        """Take where the key is told to."""
+        """Store the callback that takes the value of the key."""
         self.assertEqual(key, ownership.OWNER_KEY)
-        self.tell_key = on_value
+        self.report_key = on_value
 
-    def tell_owner(self, told, revision=TOKEN):
-        """Have the watch tell of an owner, or of none."""
-        value = msgspec.json.encode(told) if told is not None else None
-        self.tell_key(value, revision)
+    def report_owner(self, reported, revision=TOKEN):
+        """Have the watch report an owner, or none."""
+        value = msgspec.json.encode(reported) if reported is not None else None
+        self.report_key(value, revision)
 
     def take_cell(self):
         """Have the process claim the free key and read the records."""
-        self.tell_owner(None)
+        self.report_owner(None)
         self.clock.advance(LONG_S)
         self.reading.callback(True)
 
 
 class Claims(HoldingCase):
-    """Who gets a key that is free or offered."""
+    """Claims of a key that is free or offered."""
 
-    def test_free_key_is_claimed_and_decided_under(self):
-        self.tell_owner(None)
+    def test_process_claims_a_free_key_and_decides_once_records_are_read(self):
+        self.report_owner(None)
         self.clock.advance(LONG_S)
         self.assertEqual(self.holding.owner, OWN)
         self.assertIsNone(self.holding.get_core())
@@ -83,9 +83,9 @@
         self.assertIs(self.holding.get_core(), self.holding.session.core)
         self.daemon.greeting.greet.assert_called_once_with()
 
-    def test_nobody_claims_without_a_configuration(self):
+    def test_process_without_a_configuration_claims_nothing(self):
         self.daemon.config = None
-        self.tell_owner(None)
+        self.report_owner(None)
         self.clock.pump([LONG_S] * 3)
         self.claimer.claim.assert_not_called()
         self.assertFalse(self.holding.take_offer(TOKEN))
@@ -93,20 +93,20 @@
         self.clock.pump([LONG_S] * 2)
         self.claimer.claim.assert_called_once()
 
-    def test_key_that_another_has_meanwhile_is_left_to_it(self):
-        self.tell_owner(None)
-        self.tell_owner(OTHER)
+    def test_key_taken_by_another_process_meanwhile_is_not_claimed(self):
+        self.report_owner(None)
+        self.report_owner(OTHER)
         self.clock.advance(LONG_S)
         self.claimer.claim.assert_not_called()
         self.assertIsNone(self.holding.session)
 
     def test_offer_replaces_the_key_of_the_owner(self):
-        self.tell_owner(OTHER)
+        self.report_owner(OTHER)
         self.assertTrue(self.holding.take_offer(TOKEN))
         self.clock.advance(LONG_S)
         self.claimer.claim.assert_called_once_with(TOKEN)
 
-    def test_offer_is_refused_by_one_that_stops_or_lacks_the_store(self):
+    def test_process_that_stops_or_lacks_the_store_refuses_an_offer(self):
         self.daemon.is_stopping = True
         self.assertFalse(self.holding.take_offer(TOKEN))
         self.daemon.is_stopping = False
@@ -114,9 +114,9 @@
         self.assertFalse(self.holding.take_offer(TOKEN))
         self.claimer.claim.assert_not_called()
 
-    # The owner waited 0.6 s for one that the store had turned away as well.
-    def test_one_that_fails_to_get_an_offered_key_tells_the_owner(self):
-        self.tell_owner(OTHER)
+    # Without this answer, the owner waits 0.6 s for a process that the store refused.
+    def test_process_that_fails_to_claim_an_offered_key_notifies_the_owner(self):
+        self.report_owner(OTHER)
         self.answers[:] = [False]
         self.assertTrue(self.holding.take_offer(TOKEN, OTHER.address))
         self.clock.advance(LONG_S)
@@ -124,50 +124,50 @@
             OTHER.address, "", peering.OfferAnswer(TOKEN, False)
         )
 
-    # An owner that had been replaced asked eight more processes within 0.3 s.
-    def test_owner_is_not_told_of_a_key_that_another_has_by_now(self):
-        self.tell_owner(OTHER)
+    # A replaced owner that is notified asks further processes (eight within 0.3 s).
+    def test_owner_is_not_notified_once_another_process_has_the_key(self):
+        self.report_owner(OTHER)
         self.answers[:] = [False]
         self.claimer.is_held_by_other = True
         self.assertTrue(self.holding.take_offer(TOKEN, OTHER.address))
         self.clock.advance(LONG_S)
         self.daemon.bus.send.assert_not_called()
 
-    def test_nobody_is_told_of_a_key_that_nobody_offered(self):
-        self.tell_owner(OTHER)
+    def test_failed_claim_without_an_offering_owner_notifies_nobody(self):
+        self.report_owner(OTHER)
         self.answers[:] = [False]
         self.assertTrue(self.holding.take_offer(TOKEN))
         self.clock.advance(LONG_S)
         self.daemon.bus.send.assert_not_called()
 
-    def test_claim_that_failed_is_made_again_while_the_key_is_free(self):
-        self.tell_owner(None)
+    def test_failed_claim_is_retried_while_the_key_is_free(self):
+        self.report_owner(None)
         self.answers[:] = [False, True]
         self.clock.pump([LONG_S] * 3)
         self.assertEqual(self.claimer.claim.call_count, 2)
         self.assertEqual(self.holding.owner, OWN)
 
 
-class Gives(HoldingCase):
-    """How the cell goes from this process to another."""
+class Handover(HoldingCase):
+    """The cell passes from this process to another."""
 
     def setUp(self):
         super().setUp()
         self.take_cell()
-        self.tell_owner(OWN)
+        self.report_owner(OWN)
 
-    def test_own_key_is_no_loss_and_nobody_is_met(self):
+    def test_own_key_does_not_end_the_session_or_cause_a_greeting(self):
         self.assertIsNotNone(self.holding.get_core())
         self.daemon.greeting.meet.assert_not_called()
 
-    def test_key_of_another_ends_the_session_and_the_other_is_greeted(self):
+    def test_key_of_another_process_ends_the_session_and_its_owner_is_greeted(self):
         session = self.holding.session
-        self.tell_owner(OTHER, TOKEN + 1)
+        self.report_owner(OTHER, TOKEN + 1)
         session.stop.assert_called_once_with()
         self.assertIsNone(self.holding.session)
         self.daemon.greeting.meet.assert_called_once_with(OTHER)
 
-    def test_one_that_stops_decides_until_its_time_is_over(self):
+    def test_stopping_process_decides_until_its_deadline(self):
         self.holding.leave(self.clock.seconds() + LONG_S)
         self.clock.advance(LONG_S / 2)
         self.assertIsNotNone(self.holding.get_core())
--- a/thornport/cell/owner/lanes_test.py
+++ b/thornport/cell/owner/lanes_test.py
@@ -1,4 +1,4 @@
-"""Transactions of an owner stay within what the store takes."""
+"""Transactions of an owner stay within the bounds of the store."""
 
 import unittest
 
@@ -8,14 +8,14 @@
 from thornport.cell.decisions import batches
 from thornport.cell.owner import lanes
 
-STORE_ENTRIES = 32  # the most of a transaction, by the users' platform
+STORE_ENTRIES = 32  # the platform's maximum for a transaction
 
 
 class Transactions(unittest.TestCase):
-    """Batches as full as the owner makes them."""
+    """Transactions for batches as full as the owner makes them."""
 
     @given(st.integers(0, batches.BATCH_JOBS), st.data())
-    def test_full_batch_is_within_the_store_s_bound(self, jobs, data):
+    def test_full_batch_is_within_the_bound_of_the_store(self, jobs, data):
         closed = data.draw(st.integers(0, jobs))
         forgotten = (batches.BATCH_JOBS - jobs) // batches.FORGOTTEN_KEYS
         batch = batches.Batch(
--- a/thornport/cell/owner/ledger_test.py
+++ b/thornport/cell/owner/ledger_test.py
@@ -1,4 +1,4 @@
-"""Records are kept once, whatever becomes of the answers."""
+"""Records are persisted exactly once, whether or not the answers arrive."""
 
 import unittest
 from unittest import mock
@@ -17,11 +17,13 @@
 
 
 class FakeStore:
-    """A store whose answers are lost, or that refuses, as told."""
+    """A store that loses answers, holds back or refuses commits as configured."""
 
     def __init__(self):
-        self.kept = transaction_store.TransactionStore()
-        self.token = self.kept.commit([], [(ownership.OWNER_KEY, TOKEN_VALUE, 0)], [])
+        self.contents = transaction_store.TransactionStore()
+        self.token = self.contents.commit(
+            [], [(ownership.OWNER_KEY, TOKEN_VALUE, 0)], []
+        )
         self.lost_answers = 0
         self.refusals = 0
         self.held = []
@@ -31,7 +33,7 @@
 
     async def read_key(self, key):
         """Read a key."""
-        item = self.kept.by_key.get(key)
+        item = self.contents.by_key.get(key)
         if item is None:
             return result.Success(transactions.Item(key, b"", 0))
         return result.Success(transactions.Item(key, item.value, item.rev))
@@ -39,13 +41,13 @@
     async def read_page(self, prefix, after_key="", on_bytes=None):
         """Read all keys with a prefix."""
         found = [
-            item for key, item in self.kept.by_key.items() if key.startswith(prefix)
+            item for key, item in self.contents.by_key.items() if key.startswith(prefix)
         ]
         items = [transactions.Item(item.key, item.value, item.rev) for item in found]
-        return result.Success(transactions.Page(items, False, self.kept.revision))
+        return result.Success(transactions.Page(items, False, self.contents.revision))
 
     async def commit(self, transaction):
-        """Apply a transaction, unless it is to be held back."""
+        """Apply a transaction, unless it is to be refused or held back."""
         self.commits += 1
         if self.refusals:
             self.refusals -= 1
@@ -60,22 +62,22 @@
         return await self.answer(outcome)
 
     async def answer(self, outcome):
-        """Answer, unless the answer is to be lost."""
+        """Return the outcome, unless the answer is to be lost."""
         if self.lost_answers:
             self.lost_answers -= 1
             return await defer.Deferred()
         return outcome
 
     def apply(self, transaction):
-        """Apply a transaction now; returns a Result."""
+        """Apply a transaction at once; return a Result."""
         conditions = [(c.key, c.revision) for c in transaction.conditions]
         puts = [(put.key, put.value, put.lease_id) for put in transaction.puts]
-        revision = self.kept.commit(conditions, puts, transaction.removes)
+        revision = self.contents.commit(conditions, puts, transaction.removes)
         if revision is not None:
             return result.Success(revision)
         by_key = {}
         for key, _ in conditions:
-            item = self.kept.by_key.get(key)
+            item = self.contents.by_key.get(key)
             if item is not None:
                 by_key[key] = transactions.Item(key, item.value, item.rev)
         return result.Failure(transactions.Refused("a condition failed", by_key))
@@ -91,7 +93,7 @@
         self.addCleanup(patched.stop)
         self.store = FakeStore()
         self.batches = []
-        self.kept = []
+        self.persisted = []
         self.ended = []
         self.regained_heads = []
         self.is_running = False
@@ -105,9 +107,9 @@
         )
 
     async def regain(self, conditions):
-        """Get the key back if nobody else has written a head."""
+        """Regain the key if no other process has written a head."""
         self.regained_heads.append(conditions)
-        token = self.store.kept.commit(
+        token = self.store.contents.commit(
             [(ownership.OWNER_KEY, 0)] + [(c.key, c.revision) for c in conditions],
             [(ownership.OWNER_KEY, TOKEN_VALUE, 0)],
             [],
@@ -117,17 +119,17 @@
         return token
 
     def lose_key(self):
-        """Take the owner's key away."""
-        self.store.kept.commit([], [], [ownership.OWNER_KEY])
+        """Remove the owner key from the store."""
+        self.store.contents.commit([], [], [ownership.OWNER_KEY])
 
     def write(self, *job_ids):
-        """Write batches of one job each, and let time pass."""
+        """Write batches of one job each, and advance the clock."""
         self.begin(*job_ids)
         for _ in range(400):
             self.clock.advance(0.01)
 
     def begin(self, *job_ids):
-        """Begin to write batches of one job each."""
+        """Start writing batches of one job each."""
         self.batches += [
             batches.Batch({job_id: job_id.encode()}, [], [], []) for job_id in job_ids
         ]
@@ -137,45 +139,47 @@
         self.ledger.wake()
 
     async def run_ledger(self):
-        """Write until there is nothing left or the key is lost."""
+        """Write until the ledger stops or the key is lost."""
         await self.ledger.read_heads()
         await self.ledger.write(
             lambda: self.batches.pop(0) if self.batches else None,
-            lambda batch, sent_at: self.kept.append(batch),
+            lambda batch, sent_at: self.persisted.append(batch),
         )
         self.ended.append(True)
 
     def read_value(self, job_id):
-        """The record of a job in the store."""
-        return self.store.kept.by_key[record.PROGRESS_PREFIX + job_id].value
+        """Return the record of a job in the store."""
+        return self.store.contents.by_key[record.PROGRESS_PREFIX + job_id].value
 
-    def list_kept(self):
-        """The job ids of the batches that were told as kept, sorted.
+    def list_persisted(self):
+        """Return the sorted job IDs of the batches that were reported as persisted.
 
-        Batches of one job each, so none has to be kept before another.
+        Each batch is of one job, so they may be persisted in any order.
         """
-        kept = [next(iter(b.progress_by_job)) for b in self.kept if b is not None]
-        return sorted(kept)
+        job_ids = [
+            next(iter(b.progress_by_job)) for b in self.persisted if b is not None
+        ]
+        return sorted(job_ids)
 
 
 class Ledger(LedgerCase):
-    """Writing through faults."""
+    """Writing while the store or its answers fail."""
 
-    def test_batches_are_kept_once_each(self):
+    def test_each_batch_is_persisted_once(self):
         self.write("a", "b", "c")
-        self.assertEqual(self.list_kept(), ["a", "b", "c"])
+        self.assertEqual(self.list_persisted(), ["a", "b", "c"])
         self.assertEqual(self.read_value("b"), b"b")
 
     def test_lost_answer_is_resolved_by_sending_again(self):
         self.store.lost_answers = 1
         self.write("a", "b")
-        self.assertEqual(self.list_kept(), ["a", "b"])
+        self.assertEqual(self.list_persisted(), ["a", "b"])
         self.assertEqual(self.ended, [])
 
     def test_refused_call_is_sent_again(self):
         self.store.refusals = 3
         self.write("a")
-        self.assertEqual(self.list_kept(), ["a"])
+        self.assertEqual(self.list_persisted(), ["a"])
 
     def test_late_copy_is_not_applied_over_a_newer_record(self):
         self.store.hold_next = 1
@@ -183,16 +187,16 @@
         late = self.store.held[0]
         outcome = self.store.apply(late)
         self.assertIsInstance(outcome.failure(), transactions.Refused)
-        self.assertEqual(self.list_kept(), ["a", "a2"])
+        self.assertEqual(self.list_persisted(), ["a", "a2"])
 
-    def test_lost_key_ends_the_ledger_and_keeps_nothing_more(self):
-        self.store.kept.commit([], [(ownership.OWNER_KEY, "successor", 0)], [])
+    def test_lost_key_stops_the_ledger_and_nothing_more_is_persisted(self):
+        self.store.contents.commit([], [(ownership.OWNER_KEY, "successor", 0)], [])
         self.write("a")
-        self.assertEqual(self.list_kept(), [])
+        self.assertEqual(self.list_persisted(), [])
         self.assertEqual(self.ended, [True])
 
     def hold_commits(self, count):
-        """Let the store hold the next commits, and let a little time pass."""
+        """Hold back the next commits, and advance the clock a little."""
         self.store.hold_next = count
         self.begin("a", "b", "c")
         for _ in range(5):
@@ -201,49 +205,51 @@
     def test_further_lanes_join_while_the_store_is_slow(self):
         self.hold_commits(2)
         self.assertEqual(len(self.store.held), 2)
-        self.assertEqual(self.list_kept(), ["c"])
+        self.assertEqual(self.list_persisted(), ["c"])
         heads = [held.puts[0].key for held in self.store.held]
         self.assertEqual(len(set(heads)), 2)
 
-    def test_one_lane_does_it_all_while_the_store_is_fast(self):
+    def test_only_the_first_lane_writes_while_the_store_is_fast(self):
         self.write("a", "b", "c")
-        heads = [key for key in self.store.kept.by_key if key.startswith("thornport/c")]
+        heads = [
+            key for key in self.store.contents.by_key if key.startswith("thornport/c")
+        ]
         self.assertEqual(sorted(heads), [lanes.HEAD_KEY, ownership.OWNER_KEY])
 
-    def test_key_is_got_back_once_all_lanes_are_settled(self):
+    def test_key_is_regained_once_no_lane_has_an_open_transaction(self):
         self.hold_commits(2)
-        # The first lane's record is kept, the second's is not; then the key goes.
+        # Only the first lane's record is persisted before the key is lost.
         self.store.apply(self.store.held[0])
         self.lose_key()
         for _ in range(200):
             self.clock.advance(0.01)
-        self.assertEqual(self.list_kept(), ["a", "b", "c"])
+        self.assertEqual(self.list_persisted(), ["a", "b", "c"])
         self.assertEqual(len(self.regained_heads), 1)
         self.assertEqual(self.read_value("b"), b"b")
 
-    def test_key_that_ran_out_is_got_back_and_nothing_is_lost(self):
+    def test_expired_key_is_regained_and_no_record_is_lost(self):
         self.write("a")
         self.lose_key()
         self.write("b")
-        self.assertEqual(self.list_kept(), ["a", "b"])
+        self.assertEqual(self.list_persisted(), ["a", "b"])
         self.assertEqual(len(self.regained_heads), 1)
 
-    def test_key_that_goes_just_after_a_record_was_kept_is_got_back_at_once(self):
-        """The order to confirm comes before the lane sleeps again.
+    def test_key_lost_just_after_a_record_was_persisted_is_regained_at_once(self):
+        """The request to confirm arrives before the lane sleeps again.
 
-        Of 64 processes whose key was taken back while the first tasks of a job began,
-        one did nothing for 0.16 s, and a peer that had given it the first try for 0.15
-        s claimed the cell.
+        Otherwise the owner stays idle for too long: of 64 processes whose key was
+        revoked while the first tasks of a job started, one was idle for 0.16 s, and a
+        peer, which leaves the owner the first claim for 0.15 s, claimed the cell.
         """
         self.write("a")
         self.begin("b")
-        self.assertEqual(self.list_kept(), ["a", "b"])
+        self.assertEqual(self.list_persisted(), ["a", "b"])
         self.lose_key()
         self.ledger.wake(must_confirm=True)
         self.clock.advance(ledger.TRANSACTION_GAP_S)
         self.assertEqual(len(self.regained_heads), 1)
 
-    def test_key_that_goes_after_a_record_whose_answer_is_late_is_got_back(self):
+    def test_key_lost_while_the_answer_to_a_record_is_late_is_regained(self):
         self.write("a")
         late = self.store.late_answer = defer.Deferred()
         self.begin("b")
@@ -252,47 +258,47 @@
         self.ledger.wake(must_confirm=True)
         late.callback(None)
         self.clock.advance(ledger.TRANSACTION_GAP_S)
-        self.assertEqual(self.list_kept(), ["a", "b"])
+        self.assertEqual(self.list_persisted(), ["a", "b"])
         self.assertEqual(len(self.regained_heads), 1)
 
-    def test_record_that_is_sent_after_the_order_confirms_too(self):
+    def test_record_sent_after_the_request_to_confirm_confirms_too(self):
         self.begin("a")
         self.ledger.wake(must_confirm=True)
         self.begin("b")
         self.clock.advance(ledger.TRANSACTION_GAP_S)
         commits = self.store.commits
-        self.assertEqual(self.list_kept(), ["a", "b"])
+        self.assertEqual(self.list_persisted(), ["a", "b"])
         self.clock.advance(ledger.TRANSACTION_GAP_S)
         self.assertEqual(self.store.commits, commits)
 
-    def test_record_kept_before_the_key_ran_out_is_not_written_again(self):
+    def test_record_persisted_before_the_key_expired_is_not_written_again(self):
         self.store.lost_answers = 1
         self.begin("a")
         self.lose_key()
         self.write("b")
-        self.assertEqual(self.list_kept(), ["a", "b"])
+        self.assertEqual(self.list_persisted(), ["a", "b"])
         self.assertEqual(self.read_value("a"), b"a")
 
-    def test_lane_that_is_refused_while_the_key_is_got_back_goes_on(self):
+    def test_lane_refused_while_the_key_is_being_regained_goes_on(self):
         self.write("a")
         self.lose_key()
         self.regain_answer = defer.Deferred()
         self.begin("b")
-        # The key is ours in the store, and the answer on its way.
+        # The key is regained in the store, but the answer has not arrived.
         for _ in range(5):
             self.clock.advance(0.01)
         self.begin("c")
         for _ in range(5):
             self.clock.advance(0.01)
-        self.assertEqual(self.list_kept(), ["a"])
+        self.assertEqual(self.list_persisted(), ["a"])
         answer, self.regain_answer = self.regain_answer, None
         answer.callback(None)
         for _ in range(100):
             self.clock.advance(0.01)
-        self.assertEqual(self.list_kept(), ["a", "b", "c"])
+        self.assertEqual(self.list_persisted(), ["a", "b", "c"])
         self.assertEqual(self.ended, [])
 
-    def test_refusal_that_comes_after_the_key_was_got_back_ends_nothing(self):
+    def test_refusal_that_arrives_after_the_key_was_regained_is_retried(self):
         self.write("a")
         self.lose_key()
         self.regain_answer = defer.Deferred()
@@ -309,21 +315,21 @@
         late.callback(None)
         for _ in range(100):
             self.clock.advance(0.01)
-        self.assertEqual(self.list_kept(), ["a", "b", "c"])
+        self.assertEqual(self.list_persisted(), ["a", "b", "c"])
         self.assertEqual(self.ended, [])
 
-    def test_key_is_not_got_back_once_another_has_written(self):
+    def test_key_is_not_regained_once_another_process_has_written(self):
         self.write("a")
-        self.store.kept.commit([], [(lanes.HEAD_KEY, b"another's", 0)], [])
+        self.store.contents.commit([], [(lanes.HEAD_KEY, b"another's", 0)], [])
         self.lose_key()
         self.write("b")
-        self.assertEqual(self.list_kept(), ["a"])
+        self.assertEqual(self.list_persisted(), ["a"])
         self.assertIn(True, self.ended)
 
-    def test_successor_learns_whom_to_ask(self):
+    def test_successor_learns_the_addresses_of_earlier_owners(self):
         self.write("a")
         key = ownership.OWNER_KEY
-        token = self.store.kept.commit([], [(key, "successor", 0)], [])
+        token = self.store.contents.commit([], [(key, "successor", 0)], [])
         successor = self.make_ledger(token, "10.0.0.2:1")
         tasks.spawn(successor.read_heads(), "read-head")
         self.assertEqual(successor.earlier, ("10.0.0.1:1",))
--- a/thornport/cell/owner/ownership_test.py
+++ b/thornport/cell/owner/ownership_test.py
@@ -1,4 +1,4 @@
-"""The states of a process towards its cell."""
+"""The states of a process towards the ownership of its cell, and its claims."""
 
 import unittest
 from unittest import mock
@@ -21,7 +21,7 @@
     "leave",
     "deadline_passed",
 )
-# How each state is reached.
+# The inputs that lead to each state.
 PATH_BY_STATE = {
     "following": (),
     "claiming": ("key_is_free",),
@@ -35,39 +35,39 @@
 
 
 class OwnershipStateCase(unittest.TestCase):
-    """A process, and what its standing has it do."""
+    """The state machine of a process, with recorded actions."""
 
     def setUp(self):
         self.begin()
 
     def begin(self, *inputs):
-        """Begin anew and give inputs; what they have done is forgotten."""
+        """Make a new state machine and give it inputs; discard their actions."""
         self.actions = mock.Mock()
         self.state_machine = ownership.OwnershipState(self.actions)
         self.give(*inputs)
         self.actions.reset_mock()
 
     def give(self, *inputs):
-        """Give inputs."""
+        """Give inputs to the state machine."""
         for name in inputs:
             getattr(self.state_machine, name)()
 
     def read_actions(self):
-        """The names of what was done, in order."""
+        """Return the names of the recorded actions, in order."""
         return [call[0] for call in self.actions.method_calls]
 
 
 class EveryInput(OwnershipStateCase):
     """No state raises on any input."""
 
-    def test_in_every_state(self):
+    def test_every_input_is_accepted_in_every_state(self):
         for state, path in PATH_BY_STATE.items():
             for name in INPUTS:
                 with self.subTest(state=state, input=name):
                     self.begin(*path)
                     self.give(name)
 
-    def test_after_any_two_inputs_of_one_that_stops(self):
+    def test_any_two_inputs_are_accepted_around_a_stop(self):
         for state, path in PATH_BY_STATE.items():
             for first in INPUTS:
                 for second in INPUTS:
@@ -76,10 +76,10 @@
                         self.give("leave", second, "deadline_passed", first)
 
 
-class ToldToStop(OwnershipStateCase):
-    """A process goes on with what it has begun, until another has the key."""
+class Stopping(OwnershipStateCase):
+    """A process that stops goes on until another process has the key."""
 
-    def test_owner_decides_on_until_another_has_the_key(self):
+    def test_stopping_owner_decides_until_another_has_the_key(self):
         self.begin("key_is_free", "claim_won", "rebuilt")
         self.give("leave")
         self.assertEqual(self.read_actions(), [])
@@ -88,31 +88,31 @@
         self.give("deadline_passed", "key_is_free", "key_is_offered")
         self.assertEqual(self.read_actions(), ["forget"])
 
-    def test_owner_gives_the_key_up_when_its_time_is_over(self):
+    def test_stopping_owner_releases_the_key_at_its_deadline(self):
         self.begin("key_is_free", "claim_won", "rebuilt", "leave")
         self.give("deadline_passed")
         self.assertEqual(self.read_actions(), ["forget", "release"])
         self.give("key_is_free", "key_is_offered", "key_is_lost")
         self.assertEqual(self.read_actions(), ["forget", "release"])
 
-    def test_owner_that_stops_gets_back_a_key_that_ran_out(self):
+    def test_stopping_owner_confirms_a_key_that_expired(self):
         self.begin("key_is_free", "claim_won", "rebuilt", "leave")
         self.give("key_is_free")
         self.assertEqual(self.read_actions(), ["confirm"])
 
-    def test_process_that_reads_goes_on_and_decides(self):
+    def test_process_that_reads_records_goes_on_and_decides(self):
         self.begin("key_is_free", "claim_won")
         self.give("leave", "rebuilt")
         self.assertEqual(self.read_actions(), ["decide"])
         self.give("deadline_passed")
         self.assertEqual(self.read_actions(), ["decide", "forget", "release"])
 
-    def test_process_that_reads_ceases_when_another_has_the_key(self):
+    def test_process_that_reads_records_stops_when_another_has_the_key(self):
         self.begin("key_is_free", "claim_won", "leave")
         self.give("key_is_lost", "rebuilt")
         self.assertEqual(self.read_actions(), ["forget"])
 
-    def test_claim_that_was_sent_is_used_or_given_up(self):
+    def test_open_claim_is_used_if_it_succeeds_and_not_retried_if_it_fails(self):
         self.begin("key_is_free", "leave")
         self.give("claim_won", "rebuilt")
         self.assertEqual(self.read_actions(), ["rebuild", "decide"])
@@ -120,14 +120,14 @@
         self.give("claim_failed", "key_is_free")
         self.assertEqual(self.read_actions(), [])
 
-    def test_key_that_is_won_too_late_is_released_at_once(self):
+    def test_key_claimed_after_the_deadline_is_released_at_once(self):
         self.begin("key_is_free", "leave", "deadline_passed")
         self.give("claim_won")
         self.assertEqual(self.read_actions(), ["release"])
 
 
 class Regaining(unittest.TestCase):
-    """A key that ran out is written again while the process gives the cell up."""
+    """A process may give up the cell while it regains an expired key."""
 
     def setUp(self):
         self.store = mock.Mock()
@@ -140,19 +140,19 @@
         self.is_wanted = True
 
     def regain(self):
-        """Begin; a list that gets the token, or None."""
+        """Start to regain the key; return a list that gets the token or None."""
         tokens = []
         regaining = self.claimer.regain([], lambda: self.is_wanted)
         tasks.spawn(regaining, "regain").addCallback(tokens.append)
         return tokens
 
-    def test_key_that_is_still_wanted_is_kept(self):
+    def test_regained_key_is_kept_if_still_wanted(self):
         tokens = self.regain()
         self.commit.callback(result.Success(9))
         self.assertEqual(tokens, [9])
         self.store.end_lease.assert_not_called()
 
-    def test_key_that_is_wanted_no_more_keeps_nobody_waiting(self):
+    def test_regained_key_is_released_if_no_longer_wanted(self):
         tokens = self.regain()
         self.is_wanted = False
         self.commit.callback(result.Success(9))
@@ -160,7 +160,7 @@
         self.store.end_lease.assert_called_once_with(3)
 
 
-class Offered(unittest.TestCase):
+class OfferedKey(unittest.TestCase):
     """A process claims the key that an owner has offered to it."""
 
     def setUp(self):
@@ -185,31 +185,31 @@
         return defer.succeed(result.Success(self.key.revision))
 
     def read_key(self, key):
-        """Read the key as it is."""
+        """Read the current key."""
         return defer.succeed(result.Success(self.key))
 
     def claim(self):
-        """Claim the key that was offered; a bool, whether it is ours."""
+        """Claim the offered key; return whether the claim succeeded."""
         claimed = []
         tasks.spawn(self.claimer.claim(TOKEN), "claim").addCallback(claimed.append)
         return claimed[0]
 
-    def test_key_of_the_owner_is_replaced(self):
+    def test_offered_key_is_replaced(self):
         self.assertTrue(self.claim())
         self.assertEqual(self.claimer.token, TOKEN + 1)
 
-    # A successor came back 0.4 s later, when a smaller VM had taken the cell.
-    def test_key_that_ran_out_since_the_offer_is_taken_at_once(self):
+    # A retry comes too late: after 0.4 s a smaller VM had taken the cell.
+    def test_key_that_expired_since_the_offer_is_claimed_at_once(self):
         self.key = transactions.Item(ownership.OWNER_KEY, b"", 0)
         self.assertTrue(self.claim())
 
-    def test_key_that_another_has_by_now_is_left_to_it(self):
+    def test_key_taken_by_another_process_since_is_left_to_it(self):
         self.key = transactions.Item(ownership.OWNER_KEY, b"{}", TOKEN + 1)
         self.assertFalse(self.claim())
         self.assertEqual(self.key.revision, TOKEN + 1)
         self.assertTrue(self.claimer.is_held_by_other)
 
-    def test_key_of_which_the_store_tells_nothing_is_not_known_as_anothers(self):
+    def test_unavailable_store_does_not_mark_the_key_as_held_by_another(self):
         self.store.grant_lease.return_value = defer.succeed(
             result.Failure(port.Unavailable("status 429"))
         )
--- a/thornport/cell/owner/polling_test.py
+++ b/thornport/cell/owner/polling_test.py
@@ -1,4 +1,4 @@
-"""Looks go on whatever one of them comes to."""
+"""Polling goes on after an error."""
 
 import types
 import unittest
@@ -22,24 +22,24 @@
 
 
 class FakeWorkers:
-    """Workers whose looks stay open until they are answered here."""
+    """Workers whose polls stay open until a test answers them."""
 
     def __init__(self):
         self.open = []
 
     def hold(self, request):
-        """Begin a look."""
+        """Start a poll."""
         self.open.append((request, defer.Deferred()))
         return self.open[-1][1]
 
     def forget(self, address):
-        """Close no connection, for there is none."""
+        """Do nothing, since there is no connection to close."""
 
 
-class Errors(unittest.TestCase):
-    """An error while an answer is taken."""
+class PollErrors(unittest.TestCase):
+    """An error while an answer is processed must not end the polling of a worker."""
 
-    def test_the_worker_is_looked_at_again(self):
+    def test_worker_is_polled_again(self):
         now = clock.read_monotonic()
         cell = core.CellCore(1, now, now, 120.0)
         cell.take_config(queue.Config(1, (QUEUE,)), now)
@@ -55,7 +55,7 @@
         worker_polling = polling.Polling(task.Clock(), session)
         worker_polling.poll_new_workers()
         ((_, answer),) = workers.open
-        # Rows that are no list can't be taken.
+        # Rows that are not a list raise an error while they are processed.
         answer.callback(messages.HoldAnswer(1, None, None))
         worker_polling.poll_new_workers()
         self.assertEqual(len(workers.open), 2)
