--- a/thornport/cell/decisions/eligibility.py
+++ b/thornport/cell/decisions/eligibility.py
@@ -107,7 +107,7 @@
 def disturbs(step, worker):
     """Tell whether a step must not share a worker with what runs there.
 
-    Backfill work slows serving work on the same worker by unknown amounts.
+    Backfill work disturbs serving work on the same worker by unknown amounts.
 
     Args:
       step: A model.StepState.
@@ -121,7 +121,7 @@
 
 
 def has_ticket(step, worker, now):
-    """Tell whether a step has a ticket for a worker that is still valid."""
+    """Tell whether a step has a valid ticket for a worker."""
     ticket = step.tickets_by_worker.get(worker.worker_id)
     return ticket is not None and ticket[1] > now + TICKET_MARGIN_S
 
--- a/thornport/cell/decisions/placing.py
+++ b/thornport/cell/decisions/placing.py
@@ -98,7 +98,7 @@
         return self._used_share
 
     def sum_room(self):
-        """Sum the room of all workers; see the function `sum_room`."""
+        """Sum the total and used resources of all workers; see function `sum_room`."""
         return sum_room(self.workers)
 
     def may_fit(self, demand):
@@ -145,9 +145,9 @@
     Args:
       step: A model.StepState.
       workers: A list of model.Worker that may run the step now.
-      reserved: A reserving.Reservations with the room reserved for other steps.
+      reserved: A reserving.Reservations with the room of higher-ranked steps.
       wants_fast: Whether the step is urgent and prefers the fastest workers; other
-        steps prefer the slowest.
+        steps prefer the slowest, to leave the fast ones free.
       indexes: A sorted list of the waiting tasks that may start; None for all.
     Returns:
       A list of Assignment; for a gang, either all its tasks or none.
--- a/thornport/cell/decisions/usage.py
+++ b/thornport/cell/decisions/usage.py
@@ -39,7 +39,7 @@
         """
         by_name = workspaces.by_name if workspaces is not None else {}
         self._limits_by_name = {
-            name: widen(one.limit, overshoot) for name, one in by_name.items()
+            name: raise_limit(one.limit, overshoot) for name, one in by_name.items()
         }
 
     def add(self, run, name):
@@ -115,7 +115,7 @@
         return count if not step.spec.gang or count >= step.spec.count else 0
 
 
-def widen(limit, overshoot):
+def raise_limit(limit, overshoot):
     """Raise a limit by a share of it.
 
     Args:
@@ -127,13 +127,13 @@
     if not overshoot:
         return limit
     return spec.Demand(
-        widen_part(limit.millicores, overshoot),
-        widen_part(limit.memory_mb, overshoot),
-        widen_part(limit.accelerators, overshoot),
+        raise_part(limit.millicores, overshoot),
+        raise_part(limit.memory_mb, overshoot),
+        raise_part(limit.accelerators, overshoot),
     )
 
 
-def widen_part(part, overshoot):
+def raise_part(part, overshoot):
     """Raise the limit of one resource, an int."""
     if part >= workspace.UNLIMITED:
         return part
