--- a/thornport/cell/owner/holding.py
+++ b/thornport/cell/owner/holding.py
@@ -52,7 +52,7 @@
         watching.follow_key(self._reactor, store, ownership.OWNER_KEY, self._take_owner)
 
     def leave(self, give_up_at):
-        """Stop claiming, and hand the cell over or release it at a deadline.
+        """Start no new claims, and hand the cell over or release it at a deadline.
 
         Args:
           give_up_at: A float, when the cell is released if this process still owns it.
@@ -96,7 +96,7 @@
         The owner has offered the cell, or most peers agree that the owner is silent.
 
         Args:
-          token: An int, the revision of the owner's key.
+          token: An int, the revision of the owner key.
           offered_by: A str, where the owner that offers it takes messages; empty
             if no owner offers it.
         Returns:
--- a/thornport/cell/owner/lanes.py
+++ b/thornport/cell/owner/lanes.py
@@ -18,7 +18,7 @@
     """The value of a head key: the last writer, and who may still send commands.
 
     Attributes:
-      token: An int, the revision of the owner's key.
+      token: An int, the revision of the owner key.
       sequence: An int that increases with each transaction of this owner in the lane.
       address: A str, where the owner takes messages.
       earlier: Addresses of earlier owners that have not confirmed that they ceased.
@@ -77,7 +77,7 @@
       lane: A Lane.
       batch: A batches.Batch, or None when only the ownership is confirmed.
       head: Bytes, the new value of the lane's head.
-      token: An int, the revision of the owner's key.
+      token: An int, the revision of the owner key.
     Returns:
       A transactions.Transaction.
     """
--- a/thornport/cell/owner/ledger.py
+++ b/thornport/cell/owner/ledger.py
@@ -24,8 +24,8 @@
 # Maximum number of open transactions. With one at a time, a slow store would take too
 # few records a second.
 LANES = 6
-# A lane joins when the one before it has waited this long. Each transaction is a call,
-# so this is several times the store's usual latency.
+# A lane joins when the one before it has waited this long: several times the store's
+# usual latency, since each transaction is a call that has a price.
 LANE_JOIN_DELAY_S = 0.02
 # Between transactions, so that records share one. Calls have a price, but urgent jobs
 # have only tens of milliseconds to spare.
@@ -47,7 +47,7 @@
         Args:
           reactor: Twisted's reactor.
           store: A store client.
-          token: An int, the revision of the owner's key.
+          token: An int, the revision of the owner key.
           address: A str, where this process takes messages.
           metrics: A metrics.Metrics.
           regain: A coroutine function that tries to regain a lost key. It takes
@@ -77,7 +77,7 @@
         self._end_regaining(None)
 
     def wake(self, must_confirm=False):
-        """Wake the lanes, for there are records to persist.
+        """Wake the lanes that may write, since there are records to persist.
 
         Args:
           must_confirm: A bool, whether the ownership has to be confirmed instead.
@@ -146,7 +146,7 @@
             await tasks.sleep(self._reactor, TRANSACTION_GAP_S)
 
     def _may_start(self, lane):
-        """Return whether a lane may write, since the lane before it waits for long."""
+        """Return whether a lane is the first, or the one before it has waited long."""
         if not lane.number:
             return True
         busy_since = self._lanes[lane.number - 1].busy_since
@@ -205,7 +205,7 @@
             if note_applied(lane, outcome, head):
                 return outcome.sent_at
             by_key = outcome.refused.by_key
-            if self._is_ours_again(lane, by_key):
+            if self._is_regained(lane, by_key):
                 continue
             # While the key is being regained, the key in the store may be this owner's.
             if ownership.OWNER_KEY in by_key and not self._is_regaining:
@@ -215,7 +215,7 @@
                 return None
         return None
 
-    def _is_ours_again(self, lane, by_key):
+    def _is_regained(self, lane, by_key):
         """Check whether the key was regained since a transaction was sent.
 
         Args:
@@ -244,14 +244,14 @@
 
     def _start_regaining(self):
         """Try to regain the key if each open transaction waits for it."""
-        settled = all(
+        is_settled = all(
             lane.awaits_key or lane.busy_since is None for lane in self._lanes
         )
-        if self._regaining and settled and not self._is_regaining:
+        if self._regaining and is_settled and not self._is_regaining:
             self._is_regaining = True
-            tasks.spawn(self._get_key_back(), "regain")
+            tasks.spawn(self._regain_key(), "regain")
 
-    async def _get_key_back(self):
+    async def _regain_key(self):
         conditions = [
             transactions.Condition(lane.head_key, lane.revision) for lane in self._lanes
         ]
--- a/thornport/cell/owner/offering.py
+++ b/thornport/cell/owner/offering.py
@@ -60,11 +60,13 @@
     def offer(self):
         """Offer the cell to a peer if this process stops or lacks the store."""
         if self._daemon.is_stopping:
-            self._offer("the process stops", is_restarted=self._may_wait())
+            self._offer(
+                "the process stops", is_restarted=self._may_wait_for_restarted()
+            )
         elif self._away_checks >= AWAY_CHECKS:
             self._offer("the store is away")
 
-    def _may_wait(self):
+    def _may_wait_for_restarted(self):
         """Return whether this process, which stops, may wait for a restarted successor.
 
         In a rolling restart any other process may be the next to stop, and would hand
--- a/thornport/cell/owner/polling.py
+++ b/thornport/cell/owner/polling.py
@@ -84,7 +84,7 @@
             self._session.metrics.count("worker.looks")
             if worker_id not in self._cancelled_early:
                 self._take_poll(request, sent_at, answer)
-            await self._rest(worker_id, answer, retry_s)
+            await self._wait_until_due(worker_id, answer, retry_s)
             is_answered = isinstance(answer, messages.HoldAnswer)
             retry_s = FIRST_POLL_RETRY_S if is_answered else POLL_RETRY_S
 
@@ -113,7 +113,7 @@
                 log_end(request.worker_id, end, end.number > seen_number)
         self._session.pump()
 
-    async def _rest(self, worker_id, answer, retry_s):
+    async def _wait_until_due(self, worker_id, answer, retry_s):
         """Wait until the next poll is due."""
         if worker_id in self._cancelled_early:
             self._cancelled_early.discard(worker_id)
--- a/thornport/cell/owner/succession.py
+++ b/thornport/cell/owner/succession.py
@@ -27,7 +27,8 @@
     Attributes:
       own_address: A str, of the owner itself.
       cores_above: A float, the cores that its VM must exceed.
-      is_rolling_restart: Whether processes are being restarted one after another.
+      is_rolling_restart: Whether processes are being stopped one after another, as in
+        a rolling restart.
       is_restarted: Whether it must have been started lately, on a VM that is not much
         smaller than the largest.
     """
@@ -55,10 +56,10 @@
 class Succession:
     """Keeps track of the offers of one process and chooses whom to ask."""
 
-    __slots__ = ("_open", "_skipped_until")
+    __slots__ = ("_open_offer", "_skipped_until")
 
     def __init__(self):
-        self._open = None
+        self._open_offer = None
         self._skipped_until = {}
 
     def choose(self, callers, requirements, now):
@@ -71,7 +72,7 @@
         Returns:
           An advising.Caller; None while an offer is open or if no process is suitable.
         """
-        if self._open is not None and now < self._open.until:
+        if self._open_offer is not None and now < self._open_offer.until:
             return None
         suitable = [
             caller
@@ -107,7 +108,7 @@
           token: An int, the revision of the key that is offered.
           now: A float.
         """
-        self._open = OpenOffer(address, token, now + ANSWER_TIMEOUT_S)
+        self._open_offer = OpenOffer(address, token, now + ANSWER_TIMEOUT_S)
         self._skipped_until[address] = now + SKIP_PERIOD_S
 
     def take_answer(self, address, token, is_taken, now):
@@ -121,13 +122,13 @@
         Returns:
           A bool, whether it refuses the open offer.
         """
-        is_asked = self._open is not None and self._open.address == address
-        if not is_asked or self._open.token != token:
+        is_asked = self._open_offer is not None and self._open_offer.address == address
+        if not is_asked or self._open_offer.token != token:
             return False
         if is_taken:
-            self._open.until = now + CLAIM_TIMEOUT_S
+            self._open_offer.until = now + CLAIM_TIMEOUT_S
             return False
-        self._open = None
+        self._open_offer = None
         return True
 
 
