--- a/bench/sizes.py
+++ b/bench/sizes.py
@@ -12,7 +12,7 @@
 from bench import gangs, workspaces
 from thornport.cell.decisions import advising
 from thornport.cell.dispatch import assignment
-from thornport.cell.peers import peering, polling
+from thornport.cell.peers import peering, silencevote
 
 SIZES = (176, 1000, 3000)
 SIMULATED_S = 2.0
@@ -95,7 +95,7 @@
         simulation.run()
         processes = simulation.mix.callers
         greeting_s, sent = measure_greetings(processes)
-        asked = min(processes - 1, polling.MOST_ASKED)
+        asked = min(processes - 1, silencevote.MAX_VOTERS)
         print(
             f"sizes workers={workers} processes={processes} "
             f"jobs={len(simulation.job_by_id)} "
--- a/thornport/cell/owner/holding.py
+++ b/thornport/cell/owner/holding.py
@@ -124,7 +124,7 @@
         ):
             self._ownership_state.key_is_lost()
         if self.owner is not None and self.owner != known:
-            self._daemon.greeting.meet(self.owner)
+            self._daemon.greeting.greet_new_owner(self.owner)
 
     # The actions of ownership.OwnershipState.
 
--- a/thornport/cell/owner/holding_test.py
+++ b/thornport/cell/owner/holding_test.py
@@ -158,14 +158,14 @@
 
     def test_own_key_does_not_end_the_session_or_cause_a_greeting(self):
         self.assertIsNotNone(self.holding.get_core())
-        self.daemon.greeting.meet.assert_not_called()
+        self.daemon.greeting.greet_new_owner.assert_not_called()
 
     def test_key_of_another_process_ends_the_session_and_its_owner_is_greeted(self):
         session = self.holding.session
         self.report_owner(OTHER, TOKEN + 1)
         session.stop.assert_called_once_with()
         self.assertIsNone(self.holding.session)
-        self.daemon.greeting.meet.assert_called_once_with(OTHER)
+        self.daemon.greeting.greet_new_owner.assert_called_once_with(OTHER)
 
     def test_stopping_process_decides_until_its_deadline(self):
         self.holding.leave(self.clock.seconds() + LONG_S)
--- a/thornport/cell/owner/owner.py
+++ b/thornport/cell/owner/owner.py
@@ -202,7 +202,7 @@
           address: A str, where it takes messages.
           reported: The lapses.Lapses that it reported.
         """
-        if lapses.is_of_last(reported, address, self._ledger.last):
+        if lapses.is_from_last_owner(reported, address, self._ledger.last):
             self.core.take_lapses(reported.over_at_by_id)
             logs.log(
                 "earlier-leases-told",
--- a/thornport/cell/peers/candidacy.py
+++ b/thornport/cell/peers/candidacy.py
@@ -43,7 +43,7 @@
         "_heard_at",
         "_lag_s",
         "_largest_cores",
-        "_met_at",
+        "_new_owner_at",
         "_share",
         "_started_at",
         "_stop_heard_at",
@@ -62,7 +62,7 @@
         self._stop_heard_at = -math.inf
         self._largest_cores = LARGE_CORES
         self._share = xxhash.xxh3_64_intdigest(name.encode()) % SHARES / SHARES
-        self._met_at = -math.inf
+        self._new_owner_at = -math.inf
         self._heard_at = None
         self._lag_s = 0.0
 
@@ -75,7 +75,7 @@
         if largest_cores:
             self._largest_cores = largest_cores
 
-    def meet_owner(self, now):
+    def note_new_owner(self, now):
         """Take that another process owns the cell than before.
 
         It has not been heard yet: that takes a greeting, which is lost while the
@@ -85,7 +85,7 @@
           now: A float.
         """
         self.forget_owner()
-        self._met_at = now
+        self._new_owner_at = now
 
     def hear_owner(self, now, lag_s=0.0):
         """Take that the owner lives.
@@ -108,7 +108,7 @@
     def forget_owner(self):
         """Take that the owner hands the cell over."""
         self._heard_at = None
-        self._met_at = -math.inf
+        self._new_owner_at = -math.inf
 
     def is_owner_alive(self, now):
         """Whether the owner was heard a moment ago."""
@@ -119,7 +119,7 @@
         """Whether the owner was heard before, and is not any more."""
         return self._heard_at is not None and not self.is_owner_alive(now)
 
-    def compute_turn_s(self, now):
+    def compute_claim_delay_s(self, now):
         """Say how much later than the first this process claims.
 
         Args:
@@ -128,11 +128,11 @@
           A float, seconds.
         """
         lack = max(0.0, 1.0 - self._cores / self._largest_cores)
-        turn_s = self._share * CLAIM_SPREAD_S + lack * SMALL_WAIT_S
+        delay_s = self._share * CLAIM_SPREAD_S + lack * SMALL_WAIT_S
         is_series = now - self._stop_heard_at < advising.CHANGE_WINDOW_S
         if is_series and now - self._started_at > STARTED_LATELY_S:
-            turn_s += SERIES_WAIT_S
-        return turn_s
+            delay_s += SERIES_WAIT_S
+        return delay_s
 
     def compute_wait_s(self, now, is_offered):
         """Say how long to wait before a claim.
@@ -146,8 +146,8 @@
         """
         if is_offered:
             return 0.0
-        wait_s = self.compute_turn_s(now)
-        is_met_lately = now - self._met_at < OWNER_ALIVE_S
-        if is_met_lately or self.is_owner_alive(now):
+        wait_s = self.compute_claim_delay_s(now)
+        is_new_lately = now - self._new_owner_at < OWNER_ALIVE_S
+        if is_new_lately or self.is_owner_alive(now):
             wait_s += REGAIN_WAIT_S
         return wait_s
--- a/thornport/cell/peers/candidacy_test.py
+++ b/thornport/cell/peers/candidacy_test.py
@@ -38,27 +38,27 @@
         ms after the last one had learned of the owner: it claimed 17 ms later.
         """
         joined = candidacy.Candidacy("joined", 2.0)
-        joined.meet_owner(10.0)
+        joined.note_new_owner(10.0)
         self.assertFalse(joined.is_owner_silent(10.1))
         wait_s = joined.compute_wait_s(10.03, is_offered=False)
         self.assertGreaterEqual(wait_s, candidacy.REGAIN_WAIT_S)
 
     def test_owner_that_is_never_heard_is_not_waited_for(self):
         joined = candidacy.Candidacy("joined", 2.0)
-        joined.meet_owner(10.0)
+        joined.note_new_owner(10.0)
         after_s = candidacy.OWNER_ALIVE_S + 0.01
         wait_s = joined.compute_wait_s(10.0 + after_s, is_offered=False)
         self.assertLessEqual(wait_s, candidacy.CLAIM_SPREAD_S)
 
     def test_owner_that_leaves_before_it_was_heard_is_not_waited_for(self):
         joined = candidacy.Candidacy("joined", 2.0)
-        joined.meet_owner(10.0)
+        joined.note_new_owner(10.0)
         joined.forget_owner()
         wait_s = joined.compute_wait_s(10.03, is_offered=False)
         self.assertLessEqual(wait_s, candidacy.CLAIM_SPREAD_S)
 
     def test_earlier_owner_is_no_sign_of_life_of_the_next(self):
-        self.large.meet_owner(10.1)
+        self.large.note_new_owner(10.1)
         self.assertFalse(self.large.is_owner_alive(10.2))
         self.assertFalse(self.large.is_owner_silent(20.0))
 
--- a/thornport/cell/peers/greeting.py
+++ b/thornport/cell/peers/greeting.py
@@ -74,7 +74,7 @@
         self._answered_address = address
         self._known_lists = version
 
-    def meet(self, owner):
+    def greet_new_owner(self, owner):
         """Greet a new owner until it has answered.
 
         Args:
--- a/thornport/cell/peers/greeting_test.py
+++ b/thornport/cell/peers/greeting_test.py
@@ -73,7 +73,7 @@
     def test_new_owner_is_greeted_until_it_answers(self):
         self.greeting.take_lists(OWNER.address, LISTS)
         self.set_owner(SUCCESSOR)
-        self.greeting.meet(SUCCESSOR)
+        self.greeting.greet_new_owner(SUCCESSOR)
         ((address, hello),) = self.read_sent()
         self.assertEqual((address, hello.knows_version), (SUCCESSOR.address, 0))
         self.clock.advance(greeting.GREET_AGAIN_S[0])
@@ -83,12 +83,12 @@
         self.assertEqual(self.read_sent(), [])
 
     def test_silent_owner_is_greeted_again_only_so_often(self):
-        self.greeting.meet(OWNER)
+        self.greeting.greet_new_owner(OWNER)
         self.clock.pump([*greeting.GREET_AGAIN_S, 1.0])
         self.assertEqual(len(self.read_sent()), len(greeting.GREET_AGAIN_S))
 
     def test_owner_that_was_replaced_meanwhile_is_let_be(self):
-        self.greeting.meet(OWNER)
+        self.greeting.greet_new_owner(OWNER)
         self.set_owner(SUCCESSOR)
         self.read_sent()
         self.clock.pump(greeting.GREET_AGAIN_S)
--- a/thornport/cell/peers/lapses.py
+++ b/thornport/cell/peers/lapses.py
@@ -71,7 +71,7 @@
     return Lapses(message.decided_token, over_at_by_id)
 
 
-def is_of_last(lapses, address, last):
+def is_from_last_owner(lapses, address, last):
     """Whether an owner's word holds for all leases granted before a successor.
 
     An owner waits out those before it, so the last one's word is enough, whether or not
--- a/thornport/cell/peers/lapses_test.py
+++ b/thornport/cell/peers/lapses_test.py
@@ -22,7 +22,7 @@
     def test_process_of_an_earlier_version_tells_nothing(self):
         read = lapses.read(peering.Ceased(9), 5000.0)
         self.assertEqual(read, lapses.NONE)
-        self.assertFalse(lapses.is_of_last(read, LAST.address, LAST))
+        self.assertFalse(lapses.is_from_last_owner(read, LAST.address, LAST))
 
     def test_owner_that_reads_tells_the_longest_wait(self):
         begun = core.CellCore(8, 100.0, 116.3, 120.0)
@@ -34,7 +34,7 @@
 
     def is_taken(self, token, address, last=LAST):
         """Whether what a process tells of an ownership is counted on."""
-        return lapses.is_of_last(lapses.Lapses(token, {}), address, last)
+        return lapses.is_from_last_owner(lapses.Lapses(token, {}), address, last)
 
     def test_last_owner(self):
         self.assertTrue(self.is_taken(7, LAST.address))
--- a/thornport/cell/peers/liveness.py
+++ b/thornport/cell/peers/liveness.py
@@ -6,7 +6,7 @@
 
 import random
 
-from thornport.cell.peers import candidacy, peering, polling
+from thornport.cell.peers import candidacy, peering, silencevote
 from thornport.kernel import clock, logs, tasks
 
 CHECK_PERIOD_S = 0.05  # between looks at what was heard; well below a heartbeat
@@ -29,7 +29,7 @@
         self._candidacy = daemon.candidacy
         self._owner_address = ""
         self._revision = 0
-        self._poll = None
+        self._vote = None
         self._random = random.Random()
 
     def start(self):
@@ -51,9 +51,9 @@
         if (address, revision) == (self._owner_address, self._revision):
             return
         if address and address != self._owner_address:
-            self._candidacy.meet_owner(clock.read_monotonic())
+            self._candidacy.note_new_owner(clock.read_monotonic())
         self._owner_address, self._revision = address, revision
-        self._poll = None
+        self._vote = None
 
     def hear(self, address, lag_s=0.0):
         """Take a sign of life of a process.
@@ -64,7 +64,7 @@
         """
         if address == self._owner_address:
             self._candidacy.hear_owner(clock.read_monotonic(), lag_s)
-            self._poll = None
+            self._vote = None
 
     def _tell_alive(self):
         session = self._daemon.session
@@ -85,17 +85,17 @@
             return
         if not self._candidacy.is_owner_silent(now):
             return
-        if self._poll is None:
+        if self._vote is None:
             known = self._daemon.peers
             # A process that stops may end before it answers.
             peers = known.addresses - known.stopping - {self._owner_address}
-            peers = polling.choose_asked(peers, self._random)
-            ask_at = now + self._candidacy.compute_turn_s(now)
-            self._poll = polling.Poll(self._revision, peers, ask_at)
+            peers = silencevote.choose_voters(peers, self._random)
+            ask_at = now + self._candidacy.compute_claim_delay_s(now)
+            self._vote = silencevote.SilenceVote(self._revision, peers, ask_at)
             logs.log("owner-unheard", owner=self._owner_address, peers=len(peers))
-        if self._poll.is_due(now):
+        if self._vote.is_due(now):
             question = peering.AskOwnerHeard(self._revision)
-            self._bus.send_to_all(self._poll.peer_addresses, question)
+            self._bus.send_to_all(self._vote.peer_addresses, question)
 
     def answer(self, message, address):
         """Tell a peer whether the owner is heard here.
@@ -119,17 +119,17 @@
           message: A peering.OwnerHeard.
           address: A str, the peer's.
         """
-        poll = self._poll
-        if poll is None:
+        vote = self._vote
+        if vote is None:
             return
-        poll.take_answer(address, message.revision, message.is_silent)
-        if poll.is_agreed():
-            self._poll = None
+        vote.take_answer(address, message.revision, message.is_silent)
+        if vote.is_agreed():
+            self._vote = None
             logs.log(
                 "owner-silent",
                 owner=self._owner_address,
                 revision=self._revision,
-                agreed=len(poll.silent_addresses),
-                peers=len(poll.peer_addresses),
+                agreed=len(vote.silent_addresses),
+                peers=len(vote.peer_addresses),
             )
             self._daemon.take_offer(self._revision)
--- a/thornport/cell/peers/polling.py
+++ b/thornport/cell/peers/silencevote.py
@@ -15,24 +15,24 @@
 # Of more peers than this some are asked, drawn anew for each poll: questions of all to
 # all keep small VMs from hearing the owner when it speaks again. Of so many, few draws
 # have most among a part of the cell that is cut off from the owner.
-MOST_ASKED = 31
+MAX_VOTERS = 31
 
 
-def choose_asked(addresses, rng):
+def choose_voters(addresses, rng):
     """Choose whom to ask.
 
     Args:
       addresses: A frozenset of str.
       rng: A random.Random.
     Returns:
-      A frozenset of str, MOST_ASKED of them at the most.
+      A frozenset of str, MAX_VOTERS of them at the most.
     """
-    if len(addresses) <= MOST_ASKED:
+    if len(addresses) <= MAX_VOTERS:
         return addresses
-    return frozenset(rng.sample(sorted(addresses), MOST_ASKED))
+    return frozenset(rng.sample(sorted(addresses), MAX_VOTERS))
 
 
-class Poll(msgspec.Struct):
+class SilenceVote(msgspec.Struct):
     """A question to all peers about one owner.
 
     Attributes:
--- a/thornport/cell/peers/polling_test.py
+++ b/thornport/cell/peers/silencevote_test.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from thornport.cell.peers import polling
+from thornport.cell.peers import silencevote
 
 PEERS = frozenset({"a", "b", "c", "d"})
 
@@ -17,50 +17,50 @@
 
     def test_few_of_many_are_asked(self):
         peers = frozenset(f"10.0.0.{number}:1" for number in range(299))
-        asked = polling.choose_asked(peers, random.Random(1))
-        self.assertEqual(len(asked), polling.MOST_ASKED)
+        asked = silencevote.choose_voters(peers, random.Random(1))
+        self.assertEqual(len(asked), silencevote.MAX_VOTERS)
         self.assertLess(asked, peers)
-        self.assertNotEqual(asked, polling.choose_asked(peers, random.Random(2)))
+        self.assertNotEqual(asked, silencevote.choose_voters(peers, random.Random(2)))
 
     def test_all_of_few_are_asked(self):
-        self.assertEqual(polling.choose_asked(PEERS, random.Random(1)), PEERS)
+        self.assertEqual(silencevote.choose_voters(PEERS, random.Random(1)), PEERS)
 
 
 class Polls(unittest.TestCase):
     """One poll of four peers."""
 
     def setUp(self):
-        self.poll = polling.Poll(7, PEERS, 10.0)
+        self.vote = silencevote.SilenceVote(7, PEERS, 10.0)
 
     def take(self, *addresses, is_silent=True, revision=7):
         """Take the same answer of some peers."""
         for address in addresses:
-            self.poll.take_answer(address, revision, is_silent)
+            self.vote.take_answer(address, revision, is_silent)
 
     def test_half_is_not_enough(self):
         self.take("a", "b")
-        self.assertFalse(self.poll.is_agreed())
+        self.assertFalse(self.vote.is_agreed())
         self.take("c")
-        self.assertTrue(self.poll.is_agreed())
+        self.assertTrue(self.vote.is_agreed())
 
     def test_peer_that_hears_the_owner_again_takes_its_word_back(self):
         self.take("a", "b", "c")
         self.take("c", is_silent=False)
-        self.assertFalse(self.poll.is_agreed())
+        self.assertFalse(self.vote.is_agreed())
 
     def test_answers_of_strangers_and_of_other_owners_do_not_count(self):
         self.take("x", "y", "z", "a", "a")
         self.take("b", "c", "d", revision=6)
-        self.assertFalse(self.poll.is_agreed())
+        self.assertFalse(self.vote.is_agreed())
 
     def test_nobody_agrees_alone(self):
-        self.assertFalse(polling.Poll(7, frozenset(), 10.0).is_agreed())
+        self.assertFalse(silencevote.SilenceVote(7, frozenset(), 10.0).is_agreed())
 
     def test_it_is_asked_once_and_then_again(self):
-        self.assertFalse(self.poll.is_due(9.9))
-        self.assertTrue(self.poll.is_due(10.0))
-        self.assertFalse(self.poll.is_due(10.0 + polling.ASK_AGAIN_S / 2))
-        self.assertTrue(self.poll.is_due(10.0 + polling.ASK_AGAIN_S))
+        self.assertFalse(self.vote.is_due(9.9))
+        self.assertTrue(self.vote.is_due(10.0))
+        self.assertFalse(self.vote.is_due(10.0 + silencevote.ASK_AGAIN_S / 2))
+        self.assertTrue(self.vote.is_due(10.0 + silencevote.ASK_AGAIN_S))
 
 
 if __name__ == "__main__":
