--- a/bench/cell.py
+++ b/bench/cell.py
@@ -121,8 +121,8 @@
         """One round: place, keep, start."""
         self.core.place(self.now)
         while (batch := self.core.make_batch()) is not None:
-            self.core.take_kept(batch, self.now, self.now)
-        for order in self.core.take_orders():
+            self.core.take_persisted(batch, self.now, self.now)
+        for order in self.core.take_commands():
             if isinstance(order, messages.StartOrder):
                 job = self.core.jobs_by_id[order.key.job_id]
                 run_s = job.record.job.steps[0].estimate_ms / 1000
--- a/bench/gangs.py
+++ b/bench/gangs.py
@@ -278,12 +278,12 @@
         if is_full:
             self.full_round_at = self.now + FULL_ROUND_S
         while (batch := self.core.make_batch()) is not None:
-            self.core.take_kept(batch, self.now, self.now)
+            self.core.take_persisted(batch, self.now, self.now)
         while self.advice and self.advice[0][0] <= self.now:
             _, _, request, good = heapq.heappop(self.advice)
             answer = messages.AdviceAnswer(good, VALID_MS)
             self.core.take_advice(request, answer, self.now)
-        for order in self.core.take_orders():
+        for order in self.core.take_commands():
             self.carry_out(order)
 
     def carry_out(self, order):
--- a/tests/advisedworld.py
+++ b/tests/advisedworld.py
@@ -162,12 +162,12 @@
 
     def _carry_out(self):
         others = []
-        for order in self.owner.take_orders():
+        for order in self.owner.take_commands():
             if isinstance(order, ticketing.CallAdvice):
                 self._call_advice(order)
             else:
                 others.append(order)
-        self.owner.orders = others
+        self.owner.commands = others
         super()._carry_out()
 
     def _call_advice(self, call):
@@ -215,13 +215,13 @@
     def _keep(self):
         if self.is_store_away:
             return
-        self.owner.take_kept(None, self.now, self.now)
+        self.owner.take_persisted(None, self.now, self.now)
         while True:
             due = [one for one in self._batches if one.due <= self.now]
             self._batches = [one for one in self._batches if one.due > self.now]
             for one in due:
                 self._apply(one.batch)
-                self.owner.take_kept(one.batch, one.sent_at, self.now)
+                self.owner.take_persisted(one.batch, one.sent_at, self.now)
             if len(self._batches) >= LANES:
                 return
             batch = self.owner.make_batch()
--- a/tests/cellworld.py
+++ b/tests/cellworld.py
@@ -158,13 +158,13 @@
     def _keep(self):
         if self.is_store_away:
             return
-        self.owner.take_kept(None, self.now, self.now)
+        self.owner.take_persisted(None, self.now, self.now)
         while (batch := self.owner.make_batch()) is not None:
             self.progress_by_id.update(batch.progress_by_job)
             for job_id, value in batch.closed_by_job.items():
                 self.jobs_by_id[job_id] = record.decode_job(value)
                 self.progress_by_id.pop(job_id, None)
-            self.owner.take_kept(batch, self.now, self.now)
+            self.owner.take_persisted(batch, self.now, self.now)
 
     def read_states(self):
         """The states that callers are shown, by job id."""
--- a/tests/starvation_test.py
+++ b/tests/starvation_test.py
@@ -159,7 +159,7 @@
         for job in self.world.owner.jobs_by_id.values():
             for step in job.steps_by_key.values():
                 step.asked_ids = set(self.world.workers_by_id)
-                step.good_ids = {"w0"}
+                step.permitted_ids = {"w0"}
         self.world.run(3)
         for number in range(3):
             job_id = f"job{number}"
--- a/tests/worldcalls.py
+++ b/tests/worldcalls.py
@@ -109,8 +109,8 @@
         self.calm_from = self.now
 
     def _carry_out(self):
-        for order in self.owner.take_orders():
-            if isinstance(order, messages.LookAgain):
+        for order in self.owner.take_commands():
+            if isinstance(order, messages.PollAgain):
                 self.open_looks.pop(order.worker_id, None)
                 continue
             is_start = isinstance(order, messages.StartOrder)
--- a/thornport/cell/decisions/batches.py
+++ b/thornport/cell/decisions/batches.py
@@ -24,8 +24,10 @@
 
 # Of a transaction's 32 entries, two are conditions and one the head; a job that is
 # over takes two: its own key is written, its progress removed.
-BATCH_JOBS = 14
-FORGOTTEN_KEYS = 3  # of a job that is forgotten: its own, its cancel's, its progress'
+MAX_BATCH_JOBS = 14
+KEYS_PER_FORGOTTEN_JOB = (
+    3  # of a job that is forgotten: its own, its cancel's, its progress'
+)
 # A start waits so long for its next ticket, two calls of the longest kind; its room may
 # serve others then.
 TICKET_WAIT_S = 3.0
@@ -68,7 +70,7 @@
           A Batch, or None when there is nothing to keep.
         """
         free = (job_id for job_id in self.dirty if job_id not in self._in_flight)
-        job_ids = list(itertools.islice(free, BATCH_JOBS))
+        job_ids = list(itertools.islice(free, MAX_BATCH_JOBS))
         if not job_ids and not self.forgotten:
             return None
         for job_id in job_ids:
@@ -79,7 +81,9 @@
             encode_progress(jobs),
             self._take_recording(set(job_ids)),
             [DecidedState(job.job_id, job.state, job.cause) for job in jobs],
-            self._take_forgotten((BATCH_JOBS - len(jobs)) // FORGOTTEN_KEYS),
+            self._take_forgotten(
+                (MAX_BATCH_JOBS - len(jobs)) // KEYS_PER_FORGOTTEN_JOB
+            ),
             encode_closed(jobs),
         )
 
@@ -96,7 +100,7 @@
             del self.forgotten[job_id]
         return job_ids
 
-    def take_kept(self, batch, sent_at, now):
+    def take_persisted(self, batch, sent_at, now):
         """Take that a batch is in the store: its starts may go out.
 
         Args:
@@ -106,31 +110,31 @@
         """
         self.confirmed_at = max(self.confirmed_at, sent_at)
         if batch is not None:
-            self._take_kept_jobs(batch, now)
+            self._take_persisted_jobs(batch, now)
         for worker_id in list(self._unacked_ids):
             worker = self.workers_by_id.get(worker_id)
             if worker is not None:
                 self._ack_ends(worker)
-            if worker is None or not worker.unkept_ends:
+            if worker is None or not worker.unpersisted_ends:
                 self._unacked_ids.discard(worker_id)
 
     def _ack_ends(self, worker):
         """Let a worker forget the ends that are in the store."""
-        while worker.unkept_ends:
-            end = worker.unkept_ends[0]
+        while worker.unpersisted_ends:
+            end = worker.unpersisted_ends[0]
             if end.job_id in self.dirty or end.job_id in self._in_flight:
                 return
             worker.acked_number = end.number
-            worker.unkept_ends.popleft()
+            worker.unpersisted_ends.popleft()
 
-    def _take_kept_jobs(self, batch, now):
+    def _take_persisted_jobs(self, batch, now):
         for decided in batch.states:
             self._in_flight.discard(decided.job_id)
             job = self.jobs_by_id.get(decided.job_id)
             if job is None:
                 continue
-            job.shown_state = decided.state
-            if job.shown_state in record.FINAL_STATES and job.ended_at is None:
+            job.persisted_state = decided.state
+            if job.persisted_state in record.FINAL_STATES and job.ended_at is None:
                 job.ended_at = now
             if job.job_id not in self.dirty and progress.is_closed(job):
                 job.close()
@@ -155,7 +159,7 @@
             if run.state is not model.RunState.RECORDING:
                 continue
             step = self._find_step(run.key)
-            if run.worker_id not in step.good_ids:
+            if run.worker_id not in step.permitted_ids:
                 self._release_run(run, now)
 
     def _give_up_starts(self, now):
@@ -165,7 +169,7 @@
             if is_awaited and now >= run.ticket_until:
                 self.notes.append(notes.StartGivenUp(run.key, run.run, run.worker_id))
                 self._release_run(run, now)
-        self._unticketed = keep_awaited(self._unticketed)
+        self._unticketed = filter_recording(self._unticketed)
 
     def _send_starts(self, runs, now):
         """Send the starts of runs whose records are kept, or have them wait.
@@ -216,7 +220,7 @@
         return (
             worker.entry.state is not messages.WorkerState.READY
             or not worker.is_listed
-            or not worker.is_described()
+            or not worker.has_own_entry()
             or not worker.used.fits(worker.entry.total)
             or worker.entry.service != self._queue_of(job).service
             or self.usage.is_over_limit(job.record.workspace)
@@ -257,8 +261,8 @@
         step = self._find_step(run.key)
         ticket, _ = step.tickets_by_worker.get(run.worker_id, model.NO_TICKET)
         run.state = model.RunState.ORDERED
-        run.ordered_at = run.known_since = run.percent_at = now
-        self.orders.append(
+        run.commanded_at = run.known_since = run.percent_at = now
+        self.commands.append(
             messages.StartOrder(
                 run.worker_id,
                 worker.entry.address,
@@ -273,7 +277,7 @@
         )
 
 
-def keep_awaited(runs_by_step):
+def filter_recording(runs_by_step):
     """Leave out the runs whose starts were sent or will not be.
 
     Args:
--- a/thornport/cell/decisions/cellstate.py
+++ b/thornport/cell/decisions/cellstate.py
@@ -9,7 +9,7 @@
 
 # Lost workers that are remembered, to tell many that are lost at once: more than a rack
 # has, and than an eighth of a large cell.
-KEPT_LOSSES = 1024
+MAX_RECENT_LOSSES = 1024
 
 
 class CellState:
@@ -19,7 +19,7 @@
       token: An int, the fencing token; it rises when a key that ran out is got back.
       confirmed_at: A float, when the last transaction that succeeded was sent.
       is_fenced: Whether a worker has seen a higher token: a successor decides.
-      orders: Messages to carry out, emptied by `core.CellCore.take_orders`.
+      commands: Messages to carry out, emptied by `core.CellCore.take_commands`.
       notes: What is to be logged, emptied by `core.CellCore.take_notes`.
       dirty: Ids of jobs whose record is out of date, in order.
       forgotten: Ids of jobs whose records are to be removed, in order.
@@ -46,7 +46,7 @@
         self._status_s = status_s
         self._began_at = self.confirmed_at = now
         self.is_fenced = False
-        self.orders = []
+        self.commands = []
         self.notes = []
         self.dirty = {}
         # Jobs whose records are being kept: each is in one batch at a time.
@@ -62,10 +62,10 @@
         self._queues_by_name = {}
         self._services = frozenset()
         # model.ListedWorkers of services that no configuration names.
-        self._unnamed_by_id = {}
+        self._unconfigured_by_id = {}
         self._next_order = 0
         self._last_fence = 0  # of the newest incarnation; see `incarnations`
-        self._recent_losses = collections.deque(maxlen=KEPT_LOSSES)
+        self._recent_losses = collections.deque(maxlen=MAX_RECENT_LOSSES)
         # Workers to which a task that may crash them was sent; see `crashes`.
         self._trial_ids = set()
         self._lossy_until = now  # answers of workers are being lost until then
@@ -102,7 +102,7 @@
         kept = job.record.queue
         return self._queues_by_name.get(kept.name, kept)
 
-    def _hold_room(self, worker, run):
+    def _charge_run(self, worker, run):
         """Count a run against the room of its worker and the limit of its workspace."""
         worker.add_run(run)
         job = self.jobs_by_id.get(run.key.job_id)
@@ -115,6 +115,6 @@
             return None
         return job.steps_by_key.get(messages.StepKey(key.job_id, key.time, key.step))
 
-    def _mark(self, job):
+    def _mark_dirty(self, job):
         """Have the record of a job written anew."""
         self.dirty[job.job_id] = None
--- a/thornport/cell/decisions/core.py
+++ b/thornport/cell/decisions/core.py
@@ -1,6 +1,6 @@
 """The decisions of a cell's owner: what is told in, orders and records out.
 
-No I/O and no clock: each method takes the time and leaves orders in `orders`
+No I/O and no clock: each method takes the time and leaves commands in `commands`
 and jobs to record in `dirty`. A start goes out only once the record that
 names it is kept, so a successor knows each worker that may run a task.
 """
@@ -110,7 +110,7 @@
             key = messages.StepKey(job.job_id, time, 0)
             if key not in job.steps_by_key:
                 self._begin_time(job, time)
-                job.worked_until = now
+                job.last_active_at = now
 
     def _forget_old(self, now):
         limit_s = self._status_s + LATE_STATUS_S
@@ -122,10 +122,10 @@
 
     # Reading.
 
-    def take_orders(self):
+    def take_commands(self):
         """Take the messages to carry out."""
-        orders, self.orders = self.orders, []
-        return orders
+        commands, self.commands = self.commands, []
+        return commands
 
     def take_notes(self):
         """Take what is to be logged, a list of messages of `notes`."""
@@ -144,7 +144,7 @@
         job = self.jobs_by_id.get(job_id)
         if job is None or not caller.may_see(job.record):
             return None
-        return job.shown_state
+        return job.persisted_state
 
     def count_waiting(self, queue_name):
         """Count the jobs of a queue of which no task has begun."""
--- a/thornport/cell/decisions/core_test.py
+++ b/thornport/cell/decisions/core_test.py
@@ -147,16 +147,16 @@
             cellworld.make_job("o", cellworld.make_step(1, 4, 200)), self.world.now
         )
         owner.place(self.world.now)
-        owner.take_kept(owner.make_batch(), self.world.now, self.world.now)
-        (order,) = owner.take_orders()
+        owner.take_persisted(owner.make_batch(), self.world.now, self.world.now)
+        (order,) = owner.take_commands()
         # The key ran out and was got back before the worker answered.
         owner.token += 1
         fenced = messages.Rejected(messages.Rejection.FENCED)
         owner.take_start_outcome(order, fenced, self.world.now)
         self.assertFalse(owner.is_fenced)
         owner.place(self.world.now + 1)
-        owner.take_kept(owner.make_batch(), self.world.now, self.world.now)
-        (again,) = owner.take_orders()
+        owner.take_persisted(owner.make_batch(), self.world.now, self.world.now)
+        (again,) = owner.take_commands()
         newest = owner.make_token(owner.workers_by_id[again.worker_id])
         self.assertEqual((again.token, again.run), (newest, order.run + 1))
         self.assertGreater(again.token, order.token)
@@ -301,11 +301,11 @@
         request = owner.make_poll(worker.worker_id, self.world.now)
         answer = messages.HoldAnswer(worker.clock_ms, [], [end])
         owner.take_poll(request, self.world.now, answer, self.world.now)
-        owner.take_kept(first, self.world.now, self.world.now)
+        owner.take_persisted(first, self.world.now, self.world.now)
         self.assertEqual(worker.acked_number, 0)
         second = owner.make_batch()
         self.assertIn("r", second.closed_by_job)
-        owner.take_kept(second, self.world.now, self.world.now)
+        owner.take_persisted(second, self.world.now, self.world.now)
         self.assertEqual(worker.acked_number, 1)
 
     def test_cancel_that_a_peer_tells_during_a_takeover_holds(self):
@@ -320,7 +320,7 @@
         owner.restore_progress("w", progress, self.world.now)
         owner.end_reading(self.world.now)
         batch = owner.make_batch()
-        owner.take_kept(batch, self.world.now, self.world.now)
+        owner.take_persisted(batch, self.world.now, self.world.now)
         self.assertEqual(owner.read_state("w"), record.JobState.CANCELLED)
 
     def test_nothing_but_the_state_is_held_of_jobs_that_are_over(self):
--- a/thornport/cell/decisions/crashes_test.py
+++ b/thornport/cell/decisions/crashes_test.py
@@ -504,7 +504,7 @@
 
         def carry_out_late():
             starts = [
-                o for o in world.owner.orders if isinstance(o, messages.StartOrder)
+                o for o in world.owner.commands if isinstance(o, messages.StartOrder)
             ]
             if starts:
                 world._carry_out = carry_out
--- a/thornport/cell/decisions/eligibility.py
+++ b/thornport/cell/decisions/eligibility.py
@@ -56,7 +56,7 @@
         return WorkerBlocker.UNLISTED
     if not worker.is_heard:
         return WorkerBlocker.UNHEARD
-    if not worker.is_described():
+    if not worker.has_own_entry():
         return WorkerBlocker.UNDESCRIBED
     if now < worker.avoid_until:
         return WorkerBlocker.SILENT
@@ -153,4 +153,4 @@
       A list of model.Worker, sorted by id.
     """
     by_id = candidates.by_id
-    return [by_id[one] for one in sorted(step.good_ids) if one in by_id]
+    return [by_id[one] for one in sorted(step.permitted_ids) if one in by_id]
--- a/thornport/cell/decisions/ending.py
+++ b/thornport/cell/decisions/ending.py
@@ -29,7 +29,7 @@
         if end.number <= worker.seen_number:
             return
         worker.seen_number = end.number
-        worker.unkept_ends.append(model.UnkeptEnd(end.number, end.key.job_id))
+        worker.unpersisted_ends.append(model.UnpersistedEnd(end.number, end.key.job_id))
         self._unacked_ids.add(worker.worker_id)
         run = worker.runs_by_key.get(end.key)
         if run is None or run.run != end.run:
@@ -48,8 +48,8 @@
             self.needs_pass = True
             return
         if end.kind is messages.EndKind.DONE and not step.spec.lasting:
-            if run.ordered_at is not None and not step.checkpoints_by_index:
-                worker.note_pace(now - run.ordered_at, step.spec.estimate_ms)
+            if run.commanded_at is not None and not step.checkpoints_by_index:
+                worker.note_pace(now - run.commanded_at, step.spec.estimate_ms)
             self._take_done(step, run.key)
         elif end.kind is messages.EndKind.FAILED and not step.spec.lasting:
             self._take_failed(step, run)
@@ -90,7 +90,7 @@
             return
         self._take_done(step, key)
         step.waiting -= step.done
-        self._mark(job)
+        self._mark_dirty(job)
         self.needs_pass = True
         for index, run in list(step.live_by_index.items()):
             if index in step.done:
@@ -131,7 +131,7 @@
         # A repetition of a job is over once the last member of its gangs has ended.
         if is_counted and (step.live_by_index or not job.record.job.repeats):
             return
-        self._mark(job)
+        self._mark_dirty(job)
         if job.is_over():
             return
         if step.is_done:
@@ -194,7 +194,7 @@
                 continue
             for run in list(step.live_by_index.values()):
                 self._stop_run(run, now)
-        self._mark(job)
+        self._mark_dirty(job)
         self.needs_pass = True
 
     # Stopping runs.
@@ -221,7 +221,7 @@
         command = messages.StopOrder(
             run.worker_id, worker.entry.address, run.key, run.run, token
         )
-        self.orders.append(command)
+        self.commands.append(command)
 
     # Workers whose incarnation ended, or that reject commands.
 
--- a/thornport/cell/decisions/explaining.py
+++ b/thornport/cell/decisions/explaining.py
@@ -166,12 +166,12 @@
                 continue
             for step in job.steps_by_key.values():
                 if (
-                    step.is_told_late
+                    step.is_late_reported
                     or not step.waiting
                     or not self._are_dependencies_done(job, step)
                 ):
                     continue
-                step.is_told_late = True
+                step.is_late_reported = True
                 late.append(self._view_late(job, step, waited_s, now))
         return late
 
@@ -184,7 +184,7 @@
             len(step.waiting),
             len(suited),
             len(step.asked_ids),
-            len(step.good_ids),
+            len(step.permitted_ids),
             sum(eligibility.has_ticket(step, worker, now) for worker in suited),
         )
 
@@ -201,14 +201,14 @@
         for job in self._unended_by_id.values():
             for step in job.steps_by_key.values():
                 if not self._is_stalled(job, step, now):
-                    step.told_stall = frozenset()
+                    step.reported_stall = frozenset()
                     continue
                 if now < step.stall_due_at:
                     continue
                 step.stall_due_at = now + stalls.REPORT_INTERVAL_S
                 stall = self._view_stall(job, step, now)
-                if stall.reasons != step.told_stall:
-                    step.told_stall = stall.reasons
+                if stall.reasons != step.reported_stall:
+                    step.reported_stall = stall.reasons
                     taken.append(stall)
                 checked += 1
                 if checked == stalls.MAX_REPORTED:
@@ -263,7 +263,7 @@
         """
         needs_ticket = queue.advice is not None
         suited = self._list_suited(step, queue)[: ticketing.MAX_SCANNED_WORKERS]
-        barred_ids = step.asked_ids - step.good_ids if needs_ticket else ()
+        barred_ids = step.asked_ids - step.permitted_ids if needs_ticket else ()
         return dict(
             collections.Counter(
                 stalls.find_worker_blocker(
@@ -300,7 +300,7 @@
         return [
             self._view_job(job)
             for job in self.jobs_by_id.values()
-            if state is None or job.shown_state is state
+            if state is None or job.persisted_state is state
         ]
 
     def _view_job(self, job, steps=()):
@@ -308,10 +308,10 @@
         return JobView(
             job.job_id,
             job_record.queue.name,
-            job.shown_state,
+            job.persisted_state,
             job_record.accepted_at_ms,
             steps,
-            job.cause if job.shown_state is record.JobState.FAILED else None,
+            job.cause if job.persisted_state is record.JobState.FAILED else None,
             job_record.workspace,
         )
 
@@ -342,7 +342,7 @@
         if not suited:
             return Waiting.NO_FIT
         if queue.advice is not None:
-            good = [w for w in suited if w.worker_id in step.good_ids]
+            good = [w for w in suited if w.worker_id in step.permitted_ids]
             if not good:
                 is_asked = all(w.worker_id in step.asked_ids for w in suited)
                 return Waiting.NOT_ADVISED if is_asked else Waiting.ADVICE
--- a/thornport/cell/decisions/explaining_test.py
+++ b/thornport/cell/decisions/explaining_test.py
@@ -55,7 +55,7 @@
 
     def advise(self, *good):
         """Answer the open call for advice."""
-        (call,) = self.core.take_orders()
+        (call,) = self.core.take_commands()
         tickets = tuple(messages.Ticket(worker_id, "t") for worker_id in good)
         answer = messages.AdviceAnswer(tickets, 900)
         self.core.take_advice(call.request, answer, 0.0)
--- a/thornport/cell/decisions/incarnations.py
+++ b/thornport/cell/decisions/incarnations.py
@@ -76,15 +76,15 @@
           now: A float.
         """
         if is_of_incarnation(listed.entry, worker):
-            worker.describe(listed, now)
+            worker.update_entry(listed, now)
         elif worker.is_heard:
             worker.other_listed = listed
             worker.doubted_at = now
-            self.orders.append(messages.LookAgain(worker.worker_id))
+            self.commands.append(messages.PollAgain(worker.worker_id))
         else:
             worker.other_listed = model.ListedWorker(worker.entry, worker.revision)
             worker.started_at_ms = listed.entry.started_at_ms
-            worker.describe(listed, now)
+            worker.update_entry(listed, now)
         self.needs_pass = True
 
     # Answers of the worker.
@@ -160,7 +160,7 @@
         if listed is not None and is_of_incarnation(listed.entry, worker):
             worker.other_listed = None
             worker.is_listed = True
-            worker.describe(listed, now)
+            worker.update_entry(listed, now)
 
     def _lose_missing_runs(self, worker, runs, now):
         """End the runs that the first poll of an incarnation does not list.
@@ -196,7 +196,7 @@
             return
         self.end_worker(worker, now, notes.WorkerEnd.LAPSED)
         later = self._make_worker(listed.entry)
-        later.describe(listed, now)
+        later.update_entry(listed, now)
         self.workers_by_id[later.worker_id] = later
 
 
@@ -238,5 +238,5 @@
     Returns:
       A bool; false if it is not known.
     """
-    ordered_at = run.worker_started_at_ms
-    return ordered_at is not None and ordered_at != worker.started_at_ms
+    commanded_at = run.worker_started_at_ms
+    return commanded_at is not None and commanded_at != worker.started_at_ms
--- a/thornport/cell/decisions/incarnations_test.py
+++ b/thornport/cell/decisions/incarnations_test.py
@@ -175,7 +175,7 @@
         owner.take_cancel("a", world.now)
         (stop,) = [
             order
-            for order in owner.take_orders()
+            for order in owner.take_commands()
             if isinstance(order, messages.StopOrder)
         ]
         world.restart(place.worker_id)
@@ -201,7 +201,7 @@
             answer = messages.HoldAnswer(9, rows, [], started_at_ms + later_ms)
             owner.take_poll(request, world.now, answer, world.now)
         self.assertTrue(owner.has_answered("w0"))
-        stops = [o for o in owner.take_orders() if isinstance(o, messages.StopOrder)]
+        stops = [o for o in owner.take_commands() if isinstance(o, messages.StopOrder)]
         self.assertEqual({order.key for order in stops}, {key})
 
     def test_rejected_call_to_an_earlier_incarnation_ends_no_later_one(self):
--- a/thornport/cell/decisions/learning.py
+++ b/thornport/cell/decisions/learning.py
@@ -94,7 +94,7 @@
         self.usage.set_limits(config.workspaces, self._overshoot)
         self._shares.set_weights(config.workspaces)
         self.needs_pass = True
-        waiting, self._unnamed_by_id = self._unnamed_by_id, {}
+        waiting, self._unconfigured_by_id = self._unconfigured_by_id, {}
         for listed in waiting.values():
             self.take_worker(listed.entry, listed.revision, now)
 
@@ -111,15 +111,17 @@
         if entry.service not in self._services:
             # The entry is of another writer, or of a service that a later configuration
             # names. It must not replace a worker at the same address either.
-            self._unnamed_by_id[entry.worker_id] = model.ListedWorker(entry, revision)
+            self._unconfigured_by_id[entry.worker_id] = model.ListedWorker(
+                entry, revision
+            )
             if worker is not None:
                 self._unlist(worker)
             return
-        self._unnamed_by_id.pop(entry.worker_id, None)
+        self._unconfigured_by_id.pop(entry.worker_id, None)
         listed = model.ListedWorker(entry, revision)
         if worker is None:
             worker = self._make_worker(entry)
-            worker.describe(listed, now)
+            worker.update_entry(listed, now)
             self.workers_by_id[entry.worker_id] = worker
             self.needs_pass = True
         else:
@@ -134,7 +136,7 @@
           may_come_back: A bool, whether the store was away, so that entries of live
             workers have expired and are written again shortly.
         """
-        self._unnamed_by_id.pop(worker_id, None)
+        self._unconfigured_by_id.pop(worker_id, None)
         worker = self.workers_by_id.get(worker_id)
         if worker is None:
             return
@@ -160,7 +162,7 @@
           now: A float.
           may_come_back: As for `drop_worker`.
         """
-        known = self.workers_by_id.keys() | self._unnamed_by_id.keys()
+        known = self.workers_by_id.keys() | self._unconfigured_by_id.keys()
         for worker_id in known - listed_ids:
             self.drop_worker(worker_id, now, may_come_back)
 
@@ -183,7 +185,7 @@
         job = self._incoming_by_id.pop(job_record.job_id, None)
         if job is None or job.record != job_record:
             job = self._make_job(job_record, now)
-        job.worked_until = now
+        job.last_active_at = now
         self.jobs_by_id[job_record.job_id] = job
         self._unended_by_id[job_record.job_id] = job
         self.needs_pass = True
@@ -193,7 +195,7 @@
         """Add a job that was over before this owner began."""
         job = model.JobEntry(job_record, self._next_order, now, job_record.end_state)
         self._shares.charge_job(job_record.workspace, job_record.accepted_at_ms)
-        job.shown_state = job_record.end_state
+        job.persisted_state = job_record.end_state
         job.cause = job_record.cause
         job.ended_at = now
         job.has_begun = True
@@ -202,7 +204,7 @@
     def _make_job(self, job_record, now):
         self._next_order += 1
         job = model.JobEntry(job_record, self._next_order, now)
-        job.is_owed = self._shares.charge_job(
+        job.is_within_share = self._shares.charge_job(
             job_record.workspace, job_record.accepted_at_ms
         )
         if not job_record.job.repeats:
@@ -285,7 +287,7 @@
         job = self.jobs_by_id.get(job_id)
         if job is None:
             return
-        job.state = job.shown_state = saved.state
+        job.state = job.persisted_state = saved.state
         job.times_done = saved.times_done
         job.cause = saved.cause
         job.has_begun = saved.state is not record.JobState.QUEUED
@@ -319,7 +321,7 @@
             )
             worker = self._make_worker(entry, is_listed=False)
             self.workers_by_id[run.worker_id] = worker
-        self._hold_room(worker, run)
+        self._charge_run(worker, run)
 
     def take_cancel(self, job_id, now):
         """Cancel a job whose cancel request was accepted."""
--- a/thornport/cell/decisions/leases.py
+++ b/thornport/cell/decisions/leases.py
@@ -9,7 +9,7 @@
 MAX_LEASE_MS = 6000  # the longest lease that workers grant
 GRANT_SILENCE_S = 1.5  # a poll that waits, its timeout and a margin
 # The longest lease by the slowest clock, with a margin for a command in transit.
-EARLIER_LEASE_S = MAX_LEASE_MS / 1000 / model.SLOWEST_CLOCK + 0.2
+EARLIER_LEASE_S = MAX_LEASE_MS / 1000 / model.MIN_CLOCK_RATE + 0.2
 # An owner that can't confirm its ownership stops renewing leases after this; longer
 # than the store outages that the users list (9 s).
 UNCONFIRMED_LIMIT_S = 10.0
--- a/thornport/cell/decisions/leaving.py
+++ b/thornport/cell/decisions/leaving.py
@@ -40,11 +40,11 @@
     Returns:
       A float, seconds; None if this owner did not command the run.
     """
-    if run.ordered_at is None:
+    if run.commanded_at is None:
         return None
     if run.percent < MIN_PROGRESS_PERCENT:
-        took_s = now - run.ordered_at
+        took_s = now - run.commanded_at
         return max(0.0, run.step.estimate_ms / 1000 - took_s)
-    took_s = run.percent_at - run.ordered_at
+    took_s = run.percent_at - run.commanded_at
     whole_s = took_s * 100 / run.percent
-    return max(0.0, run.ordered_at + whole_s - now)
+    return max(0.0, run.commanded_at + whole_s - now)
--- a/thornport/cell/decisions/messages.py
+++ b/thornport/cell/decisions/messages.py
@@ -86,7 +86,7 @@
         return now + self.leaves_in_ms / clock.MS_PER_S
 
 
-class LookAgain(msgspec.Struct, frozen=True):
+class PollAgain(msgspec.Struct, frozen=True):
     """Look at a worker at once: end the look that waits there, if one does."""
 
     worker_id: str
--- a/thornport/cell/decisions/model.py
+++ b/thornport/cell/decisions/model.py
@@ -14,15 +14,15 @@
 from thornport.jobs import record, spec
 
 # A worker's clock may run this much slower than ours (the users' bound).
-SLOWEST_CLOCK = 0.98
+MIN_CLOCK_RATE = 0.98
 LAPSE_MARGIN_S = 0.1  # for timers that fire late, ours and the worker's
 NO_TICKET = ("", -math.inf)  # text and deadline, where advice has given none
 GANG_INDEX = -1  # stands for all tasks of a gang
 # Estimates are rough, so a worker's pace is the mean of many ends; the oldest
 # fade, for a worker may turn slow.
-PACE_SAMPLES = 40
-PACE_KNOWN_AFTER = 6  # ends until a worker's pace counts for anything
-PACE_GRADE = 0.12  # of the logarithm; less than paces of workers differ
+MAX_PACE_SAMPLES = 40
+MIN_PACE_SAMPLES = 6  # ends until a worker's pace counts for anything
+PACE_GRADE_WIDTH = 0.12  # of the logarithm; less than paces of workers differ
 
 
 class RunState(enum.Enum):
@@ -51,7 +51,7 @@
     """A run that may be live.
 
     Attributes:
-      ordered_at: A float, when the worker was told; None before.
+      commanded_at: A float, when the worker was told; None before.
       known_since: A float, when this owner ordered it, or first heard that it runs.
       stop_confirmed_at: A float, when the worker took the stop; None before.
       stop_due_at: A float, when the stop is to be sent (again).
@@ -71,7 +71,7 @@
     worker_id: str
     step: spec.Step
     state: RunState
-    ordered_at: float | None = None
+    commanded_at: float | None = None
     known_since: float | None = None
     stop_confirmed_at: float | None = None
     stop_due_at: float = 0.0
@@ -94,7 +94,7 @@
         return self.step.demand
 
 
-class UnkeptEnd(msgspec.Struct, frozen=True):
+class UnpersistedEnd(msgspec.Struct, frozen=True):
     """An end of a run that a worker told of, and that is not in the store yet.
 
     Attributes:
@@ -145,7 +145,7 @@
       unheard_until: A float; if never heard by this owner, all that an
         earlier owner started is over then.
       seen_number, acked_number: Ends taken in; ends kept in the store.
-      unkept_ends: UnkeptEnds, in order of their numbers.
+      unpersisted_ends: UnpersistedEnds, in order of their numbers.
       failures: An int, failed runs since one was done.
       stalls: An int, how often all its tasks stood still since any went on.
       avoid_until: A float; it gets no starts before, for its calls fail.
@@ -178,7 +178,7 @@
     granted_ms: int = 0
     seen_number: int = 0
     acked_number: int = 0
-    unkept_ends: collections.deque[UnkeptEnd] = msgspec.field(
+    unpersisted_ends: collections.deque[UnpersistedEnd] = msgspec.field(
         default_factory=collections.deque
     )
     failures: int = 0
@@ -200,7 +200,7 @@
     earlier: "Worker | None" = None
     _free: spec.Demand | None = None
 
-    def describe(self, listed, now):
+    def update_entry(self, listed, now):
         """Take its entry, new or changed.
 
         Args:
@@ -214,7 +214,7 @@
         self.is_listed = True
         self.unlisted_at = None
 
-    def is_described(self):
+    def has_own_entry(self):
         """Whether its entry is its own: another life may have another room."""
         is_own = self.entry.started_at_ms == self.started_at_ms
         return is_own and self.doubted_at is None
@@ -228,7 +228,7 @@
         """
         if took_s <= 0 or estimate_ms <= 0:
             return
-        self.pace_count = min(PACE_SAMPLES, self.pace_count + 1)
+        self.pace_count = min(MAX_PACE_SAMPLES, self.pace_count + 1)
         sample = math.log(took_s * 1000 / estimate_ms)
         self.pace_log += (sample - self.pace_log) / self.pace_count
 
@@ -253,9 +253,9 @@
 
     def grade_pace(self):
         """Grade the worker's pace, an int: lower is faster; 0 if not known."""
-        if self.pace_count < PACE_KNOWN_AFTER:
+        if self.pace_count < MIN_PACE_SAMPLES:
             return 0
-        return round(self.pace_log / PACE_GRADE)
+        return round(self.pace_log / PACE_GRADE_WIDTH)
 
     @property
     def worker_id(self):
@@ -277,7 +277,7 @@
         if not self.is_heard:
             return self.unheard_until
         left_s = max(0, self.granted_ms - self.clock_ms) / 1000
-        return self.heard_at + left_s / SLOWEST_CLOCK + LAPSE_MARGIN_S
+        return self.heard_at + left_s / MIN_CLOCK_RATE + LAPSE_MARGIN_S
 
     def add_run(self, run):
         """Count a run against the room."""
@@ -318,19 +318,19 @@
       is_advanced: Whether its job has taken note of that.
       tickets_by_worker: Pairs of ticket text and its deadline.
       asked_ids: Ids of workers that advice was asked about.
-      good_ids: Those of them that may run the step.
-      walked: An int, how far the workers were walked in vain for one with room that
-        advice may be asked about.
+      permitted_ids: Those of them that may run the step.
+      scan_offset: An int, how many workers were scanned without finding one with free
+        capacity that advice may be asked about.
       is_advising: Whether a call for advice is open.
-      is_answered: Whether advice came that no round has used yet.
+      has_unused_advice: Whether advice came that no round has used yet.
       retry_advice_at: A float, no call for advice before.
       idle_since: A float, since when it may start and no run of its job is known to go
         on, or, if its tasks last, since when one of them waits; None while that is not
         so.
       waiting_since_by_index: Floats, since when tasks that last wait to run.
-      told_stall: The reasons told of its present stall; empty before.
+      reported_stall: The reasons told of its present stall; empty before.
       stall_due_at: A float, when what holds it is looked at again.
-      is_told_late: Whether it was told that it waits past its job's objective.
+      is_late_reported: Whether it was told that it waits past its job's objective.
       is_at_limit: Whether it was told that it waits for its workspace's limit.
     """
 
@@ -351,16 +351,16 @@
         default_factory=dict
     )
     asked_ids: set[str] = msgspec.field(default_factory=set)
-    good_ids: set[str] = msgspec.field(default_factory=set)
-    walked: int = 0
+    permitted_ids: set[str] = msgspec.field(default_factory=set)
+    scan_offset: int = 0
     is_advising: bool = False
-    is_answered: bool = False
+    has_unused_advice: bool = False
     retry_advice_at: float = 0.0
     idle_since: float | None = None
     waiting_since_by_index: dict[int, float] = msgspec.field(default_factory=dict)
-    told_stall: frozenset = frozenset()
+    reported_stall: frozenset = frozenset()
     stall_due_at: float = 0.0
-    is_told_late: bool = False
+    is_late_reported: bool = False
     is_at_limit: bool = False
 
     def read_ticket_deadline(self, worker_id):
@@ -372,13 +372,13 @@
         """Drop the tickets and ids of workers; nothing of it starts any more."""
         self.tickets_by_worker.clear()
         self.asked_ids.clear()
-        self.good_ids.clear()
+        self.permitted_ids.clear()
 
     def forget_worker(self, worker_id):
         """Drop what advice and failed runs said of a worker, by its id, a str."""
         self.tickets_by_worker.pop(worker_id, None)
         self.asked_ids.discard(worker_id)
-        self.good_ids.discard(worker_id)
+        self.permitted_ids.discard(worker_id)
         for avoided in self.avoided_by_index.values():
             avoided.discard(worker_id)
 
@@ -394,15 +394,16 @@
       record: Its record.JobRecord.
       order: An int that rises with acceptance.
       state: The record.JobState decided; shown to callers once kept.
-      shown_state: The record.JobState that the store has.
+      persisted_state: The record.JobState that the store has.
       cause: The record.FailureCause of a job that has failed; None else.
       steps_by_key: Its StepStates that have come into being, by StepKey.
       times_done: An int, how many of its times are over, from the first on.
       has_begun: Whether any task has been told to start.
       ended_at: A float, when its end was kept; None before.
       arrived_at: A float, when this owner learned of it.
-      is_owed: Whether its workspace had not sent more than its share; see `shares`.
-      worked_until: A float, when a run of it was last known to go on, or, if that is
+      is_within_share: Whether its workspace had not exceeded its share when the job was
+        accepted; see `shares`.
+      last_active_at: A float, when a run of it was last known to go on, or, if that is
         later, when it was accepted, a time of it was due or its limit held it.
     """
 
@@ -410,7 +411,7 @@
     order: int
     arrived_at: float
     state: record.JobState = record.JobState.QUEUED
-    shown_state: record.JobState = record.JobState.QUEUED
+    persisted_state: record.JobState = record.JobState.QUEUED
     cause: record.FailureCause | None = None
     steps_by_key: dict[messages.StepKey, StepState] = msgspec.field(
         default_factory=dict
@@ -418,12 +419,12 @@
     times_done: int = 0
     has_begun: bool = False
     ended_at: float | None = None
-    is_owed: bool = True
-    worked_until: float = 0.0
+    is_within_share: bool = True
+    last_active_at: float = 0.0
 
     def __post_init__(self):
         """Begin to count from when this owner learned of it."""
-        self.worked_until = max(self.worked_until, self.arrived_at)
+        self.last_active_at = max(self.last_active_at, self.arrived_at)
 
     @property
     def job_id(self):
--- a/thornport/cell/decisions/passes.py
+++ b/thornport/cell/decisions/passes.py
@@ -59,7 +59,7 @@
                 if not only_urgent:
                     self._resume_at = self._rank((job, step)), step
                 return
-            step.is_answered = False
+            step.has_unused_advice = False
             queue = self._queue_of(job)
             if yields.must_yield(job, queue):
                 continue
@@ -268,7 +268,7 @@
             )
             step.live_by_index[assignment.index] = run
             reserved.note_placed(step, worker)
-            self._hold_room(worker, run)
+            self._charge_run(worker, run)
             if assignment.index in step.crash_points_by_index:
                 worker.trial = run
                 run.is_joint_trial = len(assigned) > 1
@@ -280,7 +280,7 @@
         job.has_begun = True
         if job.state is record.JobState.QUEUED:
             job.state = record.JobState.RUNNING
-        self._mark(job)
+        self._mark_dirty(job)
         return len(assigned)
 
 
@@ -310,7 +310,9 @@
             begin = number
             break
     others = ready[begin:] + ready[TOP_RANKED_STEPS:begin]
-    answered = [pair for pair in others if pair[1].is_answered][:MAX_ANSWERED_STEPS]
+    answered = [pair for pair in others if pair[1].has_unused_advice][
+        :MAX_ANSWERED_STEPS
+    ]
     if answered:
         steps = {pair[1] for pair in answered}
         others = answered + [pair for pair in others if pair[1] not in steps]
--- a/thornport/cell/decisions/polls.py
+++ b/thornport/cell/decisions/polls.py
@@ -210,7 +210,7 @@
             # a new owner knows it too.
             run.worker_started_at_ms = worker.started_at_ms
             if run.key.job_id in self.jobs_by_id:
-                self._mark(self.jobs_by_id[run.key.job_id])
+                self._mark_dirty(self.jobs_by_id[run.key.job_id])
         if run.state in (model.RunState.ORDERED, model.RunState.UNHEARD):
             run.state = model.RunState.RUNNING
             run.percent_at = now
@@ -247,7 +247,7 @@
             model.RunState.RUNNING,
             worker_started_at_ms=worker.started_at_ms,
         )
-        self._hold_room(worker, run)
+        self._charge_run(worker, run)
         self._stop_run(run, now)
 
 
--- a/thornport/cell/decisions/polls_test.py
+++ b/thornport/cell/decisions/polls_test.py
@@ -44,7 +44,7 @@
         job = spec.Job("text", (spec.Step(1, spec.Demand(1000, 10, 0), 500),))
         self.core.take_job(record.JobRecord("a", job_queue, job, 0), self.now)
         self.core.place(self.now)
-        self.core.take_kept(self.core.make_batch(), self.now, self.now)
+        self.core.take_persisted(self.core.make_batch(), self.now, self.now)
 
     def test_lost_answer_shortens_polls_of_urgent_work(self):
         self.run_task(URGENT)
--- a/thornport/cell/decisions/reserving.py
+++ b/thornport/cell/decisions/reserving.py
@@ -255,7 +255,7 @@
     if run.stop_due_at:
         return now + STOPPING_S
     whole_s = estimate_s(run.step, worker)
-    began_at = now if run.ordered_at is None else run.ordered_at
+    began_at = now if run.commanded_at is None else run.commanded_at
     if run.percent > 0 and run.percent_at > began_at:
         whole_s = (run.percent_at - began_at) * 100 / run.percent
     end_at = began_at + whole_s
--- a/thornport/cell/decisions/reserving_test.py
+++ b/thornport/cell/decisions/reserving_test.py
@@ -25,11 +25,13 @@
     return model.StepState(key, step, waiting=set(range(count)))
 
 
-def add_run(worker, demand, ordered_at, estimate_ms, percent=0):
+def add_run(worker, demand, commanded_at, estimate_ms, percent=0):
     """Add a live run to a worker."""
     key = messages.TaskKey("other", 0, 0, len(worker.runs_by_key))
     step = spec.Step(1, demand, estimate_ms)
-    run = model.Run(key, 1, worker.worker_id, step, model.RunState.RUNNING, ordered_at)
+    run = model.Run(
+        key, 1, worker.worker_id, step, model.RunState.RUNNING, commanded_at
+    )
     run.percent, run.percent_at = percent, NOW
     worker.add_run(run)
 
@@ -146,8 +148,8 @@
         self.core.place(self.now)
         batch = self.core.make_batch()
         if batch is not None:
-            self.core.take_kept(batch, self.now, self.now)
-        return self.core.take_orders()
+            self.core.take_persisted(batch, self.now, self.now)
+        return self.core.take_commands()
 
     def test_advice_is_known_at_once_and_renewed_before_the_room_comes(self):
         self.submit("s", SMALL_QUEUE, SMALL, 4000)
--- a/thornport/cell/decisions/slowstore_test.py
+++ b/thornport/cell/decisions/slowstore_test.py
@@ -61,8 +61,8 @@
         return len({key.job_id for key in self.starts})
 
     def _carry_out(self):
-        orders = self.owner.orders
-        self.calls += sum(isinstance(o, ticketing.CallAdvice) for o in orders)
+        commands = self.owner.commands
+        self.calls += sum(isinstance(o, ticketing.CallAdvice) for o in commands)
         super()._carry_out()
 
     def _do(self, worker, command):
--- a/thornport/cell/decisions/stalls.py
+++ b/thornport/cell/decisions/stalls.py
@@ -88,8 +88,8 @@
       worker: The model.Worker of the run.
       now: A float.
     """
-    worked_until = now if worker.silent_since is None else worker.heard_at
-    job.worked_until = max(job.worked_until, worked_until)
+    last_active_at = now if worker.silent_since is None else worker.heard_at
+    job.last_active_at = max(job.last_active_at, last_active_at)
 
 
 def record_job_work(job, workers_by_id, now):
@@ -108,7 +108,7 @@
             worker = workers_by_id.get(run.worker_id)
             if run.state is model.RunState.RUNNING and worker is not None:
                 record_work(job, worker, now)
-                if job.worked_until >= now:
+                if job.last_active_at >= now:
                     return
 
 
@@ -122,7 +122,7 @@
     """
     if step.is_at_limit:
         # Time at the workspace limit does not count as a stall.
-        job.worked_until = now
+        job.last_active_at = now
         step.waiting_since_by_index.clear()
         step.idle_since = None
     elif step.spec.lasting:
@@ -132,8 +132,8 @@
             since_by_index.setdefault(index, now) for index in step.waiting
         )
     else:
-        is_at_work = job.worked_until >= now
-        step.idle_since = None if is_at_work else job.worked_until
+        is_at_work = job.last_active_at >= now
+        step.idle_since = None if is_at_work else job.last_active_at
 
 
 def restore_idle(job, waited_s, now):
@@ -146,7 +146,7 @@
       now: A float.
     """
     idle_since = now - min(MAX_GRACE_S, max(0.0, waited_s))
-    job.worked_until = idle_since
+    job.last_active_at = idle_since
     for step in job.steps_by_key.values():
         if step.spec.lasting:
             step.waiting_since_by_index = dict.fromkeys(step.waiting, idle_since)
--- a/thornport/cell/decisions/ticketing.py
+++ b/thornport/cell/decisions/ticketing.py
@@ -89,7 +89,7 @@
             found = take_with_room(step, unknown, reserved, count)
             if not found:
                 # Few workers may be large enough; the next pass continues from here.
-                step.walked += MAX_SCANNED_WORKERS
+                step.scan_offset += MAX_SCANNED_WORKERS
             with_room += found
         if not with_room or not placing.has_room(
             step, [*ticketed, *with_room], reserved
@@ -189,7 +189,7 @@
 
     def _rank_job(self, job):
         """Return a job's rank; steps of the lowest rank are placed first."""
-        return self._queue_of(job).priority, not job.is_owed, job.order
+        return self._queue_of(job).priority, not job.is_within_share, job.order
 
     def _make_wanted_calls(self, now, only_urgent=False):
         """Make the wanted calls that processes are free for, by need.
@@ -247,7 +247,7 @@
         fences = tuple(worker.fence for worker in workers)
         call = CallAdvice(caller.name, caller.address, request, given.deadline, fences)
         self._open_advice_by_step[step.key] = call
-        self.orders.append(call)
+        self.commands.append(call)
         return True
 
     def take_advice(self, request, answer, now):
@@ -271,7 +271,7 @@
         if answer is None:
             step.retry_advice_at = now + ADVICE_RETRY_S
             return
-        step.is_answered = True
+        step.has_unused_advice = True
         deadline = now + answer.valid_ms / 1000
         asked_ids = self._list_unchanged_ids(open_call)
         late_call = self._late_advice_by_step.pop(request.step, None)
@@ -279,10 +279,10 @@
             # The answer may belong to the earlier call that timed out.
             asked_ids &= self._list_unchanged_ids(late_call)
         step.asked_ids |= asked_ids
-        step.good_ids -= asked_ids
+        step.permitted_ids -= asked_ids
         for ticket in answer.good:
             if ticket.worker_id in asked_ids:
-                step.good_ids.add(ticket.worker_id)
+                step.permitted_ids.add(ticket.worker_id)
                 step.tickets_by_worker[ticket.worker_id] = (ticket.text, deadline)
         self.needs_pass = True
 
@@ -350,7 +350,7 @@
         return
     key = step.key
     drawn = xxhash.xxh3_64_intdigest(f"{key.job_id}.{key.step}".encode())
-    first = (drawn + step.walked) % len(workers)
+    first = (drawn + step.scan_offset) % len(workers)
     for number in range(first, first + len(workers)):
         worker = workers[number % len(workers)]
         if worker.worker_id not in step.asked_ids:
--- a/thornport/cell/decisions/ticketing_test.py
+++ b/thornport/cell/decisions/ticketing_test.py
@@ -72,8 +72,8 @@
         """Run a scheduling pass and persist its decisions; return the commands."""
         self.core.place(self.now, only_urgent)
         while (batch := self.core.make_batch()) is not None:
-            self.core.take_kept(batch, self.now, self.now)
-        return self.core.take_orders()
+            self.core.take_persisted(batch, self.now, self.now)
+        return self.core.take_commands()
 
     def list_calls(self, commands):
         """Return the worker ids that each call for advice among commands names."""
@@ -127,7 +127,7 @@
 
     def test_incoming_jobs_share_a_list(self):
         self.assertEqual(self.count_checks(lambda: self.take_incoming(50)), WORKERS)
-        self.assertTrue(self.list_calls(self.core.take_orders()))
+        self.assertTrue(self.list_calls(self.core.take_commands()))
 
     def test_urgent_passes_share_the_list_of_a_full_pass(self):
         self.submit("a", URGENT, spec.Step(3, SMALL_TASK, 800))
--- a/thornport/cell/owner/commands.py
+++ b/thornport/cell/owner/commands.py
@@ -69,7 +69,7 @@
 
 
 @execute.register
-def poll_again(command: messages.LookAgain, session):
+def poll_again(command: messages.PollAgain, session):
     """Poll a worker at once."""
     session.polling.poll_again(command.worker_id)
 
--- a/thornport/cell/owner/lanes_test.py
+++ b/thornport/cell/owner/lanes_test.py
@@ -14,10 +14,10 @@
 class Transactions(unittest.TestCase):
     """Transactions for batches as full as the owner makes them."""
 
-    @given(st.integers(0, batches.BATCH_JOBS), st.data())
+    @given(st.integers(0, batches.MAX_BATCH_JOBS), st.data())
     def test_full_batch_is_within_the_bound_of_the_store(self, jobs, data):
         closed = data.draw(st.integers(0, jobs))
-        forgotten = (batches.BATCH_JOBS - jobs) // batches.FORGOTTEN_KEYS
+        forgotten = (batches.MAX_BATCH_JOBS - jobs) // batches.KEYS_PER_FORGOTTEN_JOB
         batch = batches.Batch(
             {f"open{n}": b"" for n in range(jobs - closed)},
             [],
--- a/thornport/cell/owner/owner.py
+++ b/thornport/cell/owner/owner.py
@@ -236,7 +236,7 @@
         self.lose("a transaction was refused")
 
     def _take_persisted(self, batch, sent_at):
-        self.core.take_kept(batch, sent_at, clock.read_monotonic())
+        self.core.take_persisted(batch, sent_at, clock.read_monotonic())
         for decided in batch.states if batch is not None else ():
             if decided.cause is not None:
                 self.metrics.count(f"jobs.failed.{decided.cause.value}")
@@ -295,7 +295,7 @@
         for note in self.core.take_notes():
             self.metrics.count(noting.COUNTER_BY_NOTE[type(note)])
             noting.log_note(note)
-        for command in self.core.take_orders():
+        for command in self.core.take_commands():
             commands.execute(command, self)
         if self.core.dirty or self.core.forgotten:
             self._ledger.wake()
