--- a/soak/sizes.py
+++ b/soak/sizes.py
@@ -41,13 +41,13 @@
     SizeKind.DISPATCHERS: (
         (6, 12),
         (4, 12),
-        (assignment.DISPATCHED_FROM + 20, assignment.DISPATCHED_FROM * 2),
+        (assignment.MIN_DISPATCHED_WORKERS + 20, assignment.MIN_DISPATCHED_WORKERS * 2),
         (4, 8),
     ),
     SizeKind.LIMITS: (
         (80, 200),
         (20, 60),
-        (assignment.DISPATCHED_FROM + 20, assignment.DISPATCHED_FROM * 3),
+        (assignment.MIN_DISPATCHED_WORKERS + 20, assignment.MIN_DISPATCHED_WORKERS * 3),
         (6, 12),
     ),
 }
@@ -74,7 +74,7 @@
 
     def has_dispatchers(self):
         """Whether some processes call workers for the owner."""
-        return self.workers >= assignment.DISPATCHED_FROM
+        return self.workers >= assignment.MIN_DISPATCHED_WORKERS
 
 
 def draw_size(rng, kind=None):
--- a/tests/dispatch_test.py
+++ b/tests/dispatch_test.py
@@ -24,7 +24,7 @@
 
     def setUp(self):
         self.cell = schedulers.Schedulers(
-            SCHEDULERS, workers=assignment.DISPATCHED_FROM + 20
+            SCHEDULERS, workers=assignment.MIN_DISPATCHED_WORKERS + 20
         )
         self.addCleanup(self.cell.close)
         self.owner = self.cell.find_owner()
--- a/thornport/cell/daemon.py
+++ b/thornport/cell/daemon.py
@@ -9,7 +9,7 @@
 import math
 
 from thornport.cell import configuring, serving, storestate
-from thornport.cell.dispatch import carrying
+from thornport.cell.dispatch import executing
 from thornport.cell.owner import holding, offering
 from thornport.cell.peers import (
     asking,
@@ -49,7 +49,7 @@
       greeting: The greeting.Greeting of the owner.
       candidacy: The candidacy.Candidacy of this process for the cell.
       offering: The offering.Offering of the cell to others.
-      carrier: The carrying.Carrier of calls to workers for the owner.
+      call_executor: The executing.CallExecutor, which calls workers for the owner.
       liveness: The liveness.Liveness of the cell's owner.
       lag: The looplag.LagMeter of this process.
       peers: The peerlist.PeerList of the other processes.
@@ -95,7 +95,9 @@
         self.greeting = greeting.Greeting(reactor, self, cores, started_at)
         self.candidacy = candidacy.Candidacy(process.name, cores, started_at)
         self.offering = offering.Offering(self, cores)
-        self.carrier = carrying.Carrier(reactor, self.bus, self.ports.workers)
+        self.call_executor = executing.CallExecutor(
+            reactor, self.bus, self.ports.workers
+        )
         self.liveness = liveness.Liveness(reactor, self.bus, self)
         self.lag = looplag.LagMeter(reactor)
 
@@ -109,7 +111,7 @@
         self.store_state.start()
         self.liveness.start()
         self.lag.start()
-        self.carrier.start()
+        self.call_executor.start()
         self.greeting.start()
         self.offering.start(self._reactor)
         logs.log("started", peer=self.bus.address, **describe(self.settings))
--- a/thornport/cell/dispatch/assignment.py
+++ b/thornport/cell/dispatch/assignment.py
@@ -15,10 +15,10 @@
 
 # A cell with fewer workers is called by its owner itself: another process on the way
 # makes each call later.
-DISPATCHED_FROM = 100
+MIN_DISPATCHED_WORKERS = 100
 # So few that a small VM has processor left for its callers; fewer each would send the
 # owner more and smaller messages.
-WORKERS_EACH = 30
+WORKERS_PER_DISPATCHER = 30
 
 
 class Assignment(msgspec.Struct, frozen=True):
@@ -61,7 +61,7 @@
         Returns:
           An Assignment.
         """
-        if len(entries) < DISPATCHED_FROM:
+        if len(entries) < MIN_DISPATCHED_WORKERS:
             self._holders_by_hall.clear()
             return NOBODY
         ids_by_hall = collections.defaultdict(list)
@@ -99,7 +99,7 @@
     Returns:
       A frozenset of str.
     """
-    count = math.ceil(worker_count / WORKERS_EACH)
+    count = math.ceil(worker_count / WORKERS_PER_DISPATCHER)
     return frozenset(ids.rank_by_rendezvous(hall, names)[:count])
 
 
--- a/thornport/cell/dispatch/assignment_test.py
+++ b/thornport/cell/dispatch/assignment_test.py
@@ -64,7 +64,9 @@
     def test_few_processes_carry_them_and_none_too_many(self):
         counts = collections.Counter(self.found.address_by_worker.values())
         self.assertEqual(len(counts), len(HALLS) * 2)
-        self.assertLessEqual(max(counts.values()), 2 * assignment.WORKERS_EACH)
+        self.assertLessEqual(
+            max(counts.values()), 2 * assignment.WORKERS_PER_DISPATCHER
+        )
 
     def test_loss_of_a_process_moves_its_workers_alone(self):
         lost = sorted(self.found.list_dispatchers())[0]
@@ -108,7 +110,7 @@
         self.assertEqual(called, {"w-h2", "w-h3", "w-h4", "w-h5"})
 
     def test_owner_of_a_small_cell_calls_all_workers_itself(self):
-        entries = make_entries(("h1",), assignment.DISPATCHED_FROM - 1)
+        entries = make_entries(("h1",), assignment.MIN_DISPATCHED_WORKERS - 1)
         self.assertEqual(assignment.assign(self.callers, entries), assignment.NOBODY)
 
 
--- a/thornport/cell/dispatch/dispatching.py
+++ b/thornport/cell/dispatch/dispatching.py
@@ -14,26 +14,28 @@
 from twisted.internet import defer
 
 from thornport.cell.decisions import messages
-from thornport.cell.dispatch import assignment, carrying
+from thornport.cell.dispatch import assignment, executing
 from thornport.cell.peers import workercalls
 from thornport.kernel import clock, ids, logs, tasks
 
 # Calls are gathered so long: urgent tasks are late after some tenths of a second.
-GATHER_S = 0.002
+BATCH_DELAY_S = 0.002
 SWEEP_PERIOD_S = 0.05  # between looks at what is open
 # A dispatcher with open calls that was not heard in this many looks is late: three
 # signs of life are missing. Looks are counted, not time, so that an owner which falls
 # behind takes what has arrived first.
-SILENT_LOOKS = 6
+LATE_SWEEPS = 6
 # One that is still not heard after this many looks is lost: a process on a busy machine
 # may not be run for up to a second.
-LOST_LOOKS = 30
+LOST_SWEEPS = 30
 # A lost dispatcher gets no calls until this long after it fell silent: a process that
 # was killed is back after some seconds.
-SUSPECT_S = 2.0
+LOST_EXCLUSION_S = 2.0
 # How much longer than the worker's own answer that of a dispatcher may take.
-HOLD_SLACK_S = 0.6
-ORDER_S = 0.5  # likewise for an order, with the time that the worker has for it
+POLL_SLACK_S = 0.6
+COMMAND_TIMEOUT_S = (
+    0.5  # likewise for an order, with the time that the worker has for it
+)
 STOPPED = messages.Unanswered("the owner decides no more")
 
 
@@ -56,20 +58,20 @@
       address: A str, where it takes messages.
       unsent: NumberedCalls that are being gathered.
       open_by_number: Its OpenCalls.
-      unheard_looks: An int, how often in a row it was not heard with calls open, or
+      unheard_sweeps: An int, how often in a row it was not heard with calls open, or
         while it was late.
       late_since: A float, when it was found late; None while it is not late.
       is_heard: A bool, whether it was heard since it was found late.
-      silent_until: A float, until when it gets no calls.
+      excluded_until: A float, until when it gets no calls.
     """
 
     address: str
     unsent: list = msgspec.field(default_factory=list)
     open_by_number: dict = msgspec.field(default_factory=dict)
-    unheard_looks: int = 0
+    unheard_sweeps: int = 0
     late_since: float | None = None
     is_heard: bool = False
-    silent_until: float = 0.0
+    excluded_until: float = 0.0
 
 
 class DispatchedWorkers:
@@ -138,13 +140,13 @@
         if address == self._bus.address:
             return False
         known = self._dispatcher_by_address.get(address)
-        return known is None or now >= known.silent_until
+        return known is None or now >= known.excluded_until
 
     # The calls of a worker client.
 
     async def hold(self, request):
         """As the client's."""
-        patience_s = request.wait_ms / clock.MS_PER_S + HOLD_SLACK_S
+        patience_s = request.wait_ms / clock.MS_PER_S + POLL_SLACK_S
         return await self._call(request, patience_s)
 
     async def start(self, order):
@@ -153,11 +155,11 @@
         A worker takes the same start twice as one. But an answer to the second that
         says that nothing was done may stand for a run that began and ended meanwhile.
         """
-        return await self._call(order, ORDER_S, keep_doubt)
+        return await self._call(order, COMMAND_TIMEOUT_S, resolve_repeated_start)
 
     async def stop(self, order):
         """As the client's; the same stop twice is one."""
-        return await self._call(order, ORDER_S)
+        return await self._call(order, COMMAND_TIMEOUT_S)
 
     async def _call(self, call, patience_s, read_second=None):
         """Make a call by way of a dispatcher; directly if there is none or it is lost.
@@ -171,11 +173,11 @@
         """
         asked = self._ask(call, patience_s)
         if asked is None:
-            return await carrying.make_call(call, self._workers)
+            return await executing.make_call(call, self._workers)
         outcome = await wait(asked)
         if outcome is not None or self._is_stopped:
             return outcome or STOPPED
-        second = await carrying.make_call(call, self._workers)
+        second = await executing.make_call(call, self._workers)
         return read_second(second) if read_second is not None else second
 
     def forget(self, address):
@@ -199,7 +201,7 @@
         waiting = defer.Deferred()
         dispatcher.open_by_number[number] = OpenCall(waiting, now + patience_s)
         if not dispatcher.unsent:
-            self._reactor.callLater(GATHER_S, self._send, dispatcher)
+            self._reactor.callLater(BATCH_DELAY_S, self._send, dispatcher)
         dispatcher.unsent.append(workercalls.NumberedCall(number, call))
         return waiting
 
@@ -222,7 +224,7 @@
         if dispatcher is None:
             return
         if dispatcher.late_since is None:
-            dispatcher.unheard_looks = 0
+            dispatcher.unheard_sweeps = 0
         else:
             dispatcher.is_heard = True
             self._check_late(dispatcher)
@@ -235,13 +237,13 @@
         for dispatcher in list(self._dispatcher_by_address.values()):
             is_late = dispatcher.late_since is not None
             if not is_late and not dispatcher.open_by_number:
-                dispatcher.unheard_looks = 0
+                dispatcher.unheard_sweeps = 0
                 continue
-            dispatcher.unheard_looks += 1
+            dispatcher.unheard_sweeps += 1
             if is_late:
                 self._check_late(dispatcher)
                 continue
-            if dispatcher.unheard_looks >= SILENT_LOOKS:
+            if dispatcher.unheard_sweeps >= LATE_SWEEPS:
                 self._bypass(dispatcher, now)
                 continue
             for number, open_call in list(dispatcher.open_by_number.items()):
@@ -272,14 +274,14 @@
         is_reached = self._bus.send(dispatcher.address, "", question)
         if is_reached and dispatcher.is_heard:
             self._take_back(dispatcher)
-        elif dispatcher.unheard_looks >= LOST_LOOKS:
+        elif dispatcher.unheard_sweeps >= LOST_SWEEPS:
             reason = "not connected" if dispatcher.is_heard else "silent"
             self._lose(dispatcher, reason, dispatcher.late_since)
 
     def _take_back(self, dispatcher):
         late_s = clock.read_monotonic() - dispatcher.late_since
         dispatcher.late_since = None
-        dispatcher.unheard_looks = 0
+        dispatcher.unheard_sweeps = 0
         logs.log(
             "dispatcher-back",
             dispatcher=dispatcher.address,
@@ -294,9 +296,9 @@
           reason: A str for the log.
           since: A float, when it fell silent.
         """
-        dispatcher.silent_until = since + SUSPECT_S
+        dispatcher.excluded_until = since + LOST_EXCLUSION_S
         dispatcher.late_since = None
-        dispatcher.unheard_looks = 0
+        dispatcher.unheard_sweeps = 0
         logs.log(
             "dispatcher-lost",
             dispatcher=dispatcher.address,
@@ -340,7 +342,7 @@
         end_call(dispatcher, number, None)
 
 
-def keep_doubt(outcome):
+def resolve_repeated_start(outcome):
     """Read the outcome of a start that an earlier copy may have carried out.
 
     Args:
--- a/thornport/cell/dispatch/dispatching_test.py
+++ b/thornport/cell/dispatch/dispatching_test.py
@@ -11,8 +11,8 @@
 from thornport.kernel import clock, logs, tasks
 
 DISPATCHER = "h1:0"
-LATE_AFTER_S = dispatching.SILENT_LOOKS * dispatching.SWEEP_PERIOD_S
-LOST_AFTER_S = dispatching.LOST_LOOKS * dispatching.SWEEP_PERIOD_S
+LATE_AFTER_S = dispatching.LATE_SWEEPS * dispatching.SWEEP_PERIOD_S
+LOST_AFTER_S = dispatching.LOST_SWEEPS * dispatching.SWEEP_PERIOD_S
 KEY = messages.TaskKey("a", 0, 0, 1)
 DONE = messages.Done(5)
 LOOK = messages.HoldAnswer(7, [], [])
@@ -65,7 +65,9 @@
         self.bus = FakeBus()
         self.direct = FakeWorkers()
         self.workers = dispatching.DispatchedWorkers(self.clock, self.bus, self.direct)
-        self.entries = assignment_test.make_entries(("h1",), assignment.DISPATCHED_FROM)
+        self.entries = assignment_test.make_entries(
+            ("h1",), assignment.MIN_DISPATCHED_WORKERS
+        )
         self.assign()
         self.outcomes = []
 
@@ -124,7 +126,7 @@
     def test_calls_are_gathered_and_matched_with_their_outcomes(self):
         self.begin_look()
         self.begin_start()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         ((address, _),) = self.bus.sent
         self.assertEqual(address, DISPATCHER)
         look, start = self.list_numbers()
@@ -144,7 +146,7 @@
     def test_look_that_is_ended_leaves_the_next_one_alone(self):
         self.begin_look().cancel()
         self.begin_look()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         ended, open_one = self.list_numbers()
         self.answer((ended, LOOK))
         self.assertIsInstance(self.outcomes[0], messages.Unanswered)
@@ -163,7 +165,7 @@
 
     def test_outcome_of_a_call_of_then_is_not_taken_for_one_of_now(self):
         self.begin_look()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         earlier = self.list_numbers()
         self.workers.close()
         self.outcomes.clear()
@@ -201,12 +203,14 @@
             messages.NotReached("refused"),
         ):
             self.assertIsInstance(
-                dispatching.keep_doubt(refused), messages.Unanswered, refused
+                dispatching.resolve_repeated_start(refused),
+                messages.Unanswered,
+                refused,
             )
 
     def test_start_at_a_worker_that_was_replaced_runs_nowhere(self):
         gone = messages.Rejected(messages.Rejection.REPLACED)
-        self.assertIs(dispatching.keep_doubt(gone), gone)
+        self.assertIs(dispatching.resolve_repeated_start(gone), gone)
 
     def test_it_gets_no_calls_for_a_while_and_then_some_again(self):
         self.begin_look()
@@ -214,7 +218,7 @@
         self.assign()
         self.begin_look()
         self.assertEqual(len(self.direct.open), 2)
-        self.pass_time(dispatching.SUSPECT_S)
+        self.pass_time(dispatching.LOST_EXCLUSION_S)
         self.assign()
         self.begin_look()
         self.assertEqual(len(self.direct.open), 2)
@@ -222,18 +226,18 @@
     def test_one_that_is_not_connected_costs_no_time(self):
         self.bus.is_connected = False
         self.begin_start()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         self.assertEqual(len(self.direct.open), 1)
 
     def test_dispatcher_that_is_not_connected_is_lost_at_once(self):
         self.bus.is_connected = False
         self.begin_start()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         self.assertEqual(self.list_events(), ["dispatcher-lost"])
 
     def test_message_that_was_lost_costs_a_call_its_patience(self):
         self.begin_start()
-        self.pass_time(dispatching.ORDER_S + 0.1, is_heard=True)
+        self.pass_time(dispatching.COMMAND_TIMEOUT_S + 0.1, is_heard=True)
         self.assertEqual(len(self.direct.open), 1)
 
     def test_owner_that_stops_makes_no_call_itself(self):
@@ -257,7 +261,7 @@
     def test_late_dispatcher_is_used_again_as_soon_as_it_is_heard(self):
         self.answer()
         self.begin_look()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         self.assertEqual(len(self.direct.open), 1)
         self.assertEqual(len(self.list_numbers()), 2)
         self.assertEqual(self.list_events(), ["dispatcher-late", "dispatcher-back"])
@@ -267,7 +271,7 @@
         for begin in (self.begin_look, self.begin_start, self.begin_stop):
             begin()
         self.assertEqual(len(self.direct.open), 4)
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         self.assertEqual(len(self.list_numbers()), 1)
 
     # Guards against an assignment that changes with each short stall.
@@ -301,7 +305,7 @@
         self.answer()
         self.pass_time(0.1)
         self.begin_look()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         self.assertEqual(len(self.direct.open), 2)
         self.assertEqual(self.list_events(), ["dispatcher-late"])
         self.bus.is_connected = True
@@ -342,10 +346,10 @@
 
     # Guards against a frozen dispatcher that is left out longer than before.
     def test_lost_dispatcher_is_left_out_from_when_it_fell_silent(self):
-        self.pass_time(dispatching.SUSPECT_S)
+        self.pass_time(dispatching.LOST_EXCLUSION_S)
         self.assign()
         self.begin_look()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         self.assertEqual(len(self.list_numbers()), 2)
 
     def test_dispatcher_that_is_back_can_be_late_again(self):
@@ -362,7 +366,7 @@
     # Guards against dispatchers that are all late as the owner's own process stalls.
     def test_owner_that_stalled_takes_what_has_arrived_first(self):
         self.begin_start()
-        self.clock.advance(dispatching.GATHER_S)
+        self.clock.advance(dispatching.BATCH_DELAY_S)
         self.clock.advance(LATE_AFTER_S + 0.1)
         self.answer((self.list_numbers()[0], DONE))
         self.assertEqual(self.outcomes, [DONE])
--- a/thornport/cell/dispatch/carrying.py
+++ b/thornport/cell/dispatch/executing.py
@@ -13,11 +13,11 @@
 from thornport.kernel import clock, tasks
 
 # Outcomes are gathered so long: ends of urgent tasks free room that others wait for.
-GATHER_S = 0.002
+BATCH_DELAY_S = 0.002
 ALIVE_PERIOD_S = 0.1  # between signs of life while calls are open
 # A word so lately stands for one. A whole period would skip every other sign, for the
 # last was told a little after the look at the clock.
-TOLD_LATELY_S = ALIVE_PERIOD_S / 2
+RECENTLY_SENT_S = ALIVE_PERIOD_S / 2
 IDLE_PERIOD_S = 5.0  # between searches for workers that are not called any more
 # A worker is called several times a second by whoever it is assigned to.
 IDLE_S = 10.0
@@ -30,16 +30,16 @@
       address: A str, where it takes messages.
       open_count: An int, its calls that have not ended.
       unsent: NumberedOutcomes that are being gathered.
-      told_at: A float, when it last heard from here.
+      last_sent_at: A float, when it last heard from here.
     """
 
     address: str
     open_count: int = 0
     unsent: list = msgspec.field(default_factory=list)
-    told_at: float = 0.0
+    last_sent_at: float = 0.0
 
 
-class Carrier:
+class CallExecutor:
     """Makes the calls of owners."""
 
     def __init__(self, reactor, bus, workers):
@@ -89,18 +89,18 @@
         finally:
             owner.open_count -= 1
         if not owner.unsent:
-            self._reactor.callLater(GATHER_S, self._tell, owner)
+            self._reactor.callLater(BATCH_DELAY_S, self._tell, owner)
         owner.unsent.append(workercalls.NumberedOutcome(numbered.number, outcome))
 
     def _tell(self, owner):
         outcomes, owner.unsent = tuple(owner.unsent), []
-        owner.told_at = clock.read_monotonic()
+        owner.last_sent_at = clock.read_monotonic()
         self._bus.send(owner.address, "", workercalls.WorkerOutcomes(outcomes))
 
     def _tell_alive(self):
         now = clock.read_monotonic()
         for owner in list(self._owner_by_address.values()):
-            if owner.open_count and now - owner.told_at >= TOLD_LATELY_S:
+            if owner.open_count and now - owner.last_sent_at >= RECENTLY_SENT_S:
                 self._tell(owner)
             elif not owner.open_count and not owner.unsent:
                 del self._owner_by_address[owner.address]
--- a/thornport/cell/dispatch/carrying_test.py
+++ b/thornport/cell/dispatch/executing_test.py
@@ -7,14 +7,14 @@
 from twisted.internet import task
 
 from thornport.cell.decisions import messages
-from thornport.cell.dispatch import carrying, dispatching, dispatching_test
+from thornport.cell.dispatch import dispatching, dispatching_test, executing
 from thornport.cell.peers import peering, workercalls
 from thornport.kernel import clock
 
 OWNER = "h1:9"
 STEP_S = 0.001
 # Half of the time after which an owner makes the calls itself.
-LONGEST_GAP_S = dispatching.SILENT_LOOKS * dispatching.SWEEP_PERIOD_S / 2 + STEP_S
+LONGEST_GAP_S = dispatching.LATE_SWEEPS * dispatching.SWEEP_PERIOD_S / 2 + STEP_S
 KEY = messages.TaskKey("a", 0, 0, 1)
 CALLS = (
     messages.HoldRequest("w", "h1:w", 3, 1000, 4, 700),
@@ -56,14 +56,14 @@
         self.addCleanup(patched.stop)
         self.bus = dispatching_test.FakeBus()
         self.workers = FakeWorkers()
-        self.carrier = carrying.Carrier(self.clock, self.bus, self.workers)
-        self.carrier.start()
+        self.call_executor = executing.CallExecutor(self.clock, self.bus, self.workers)
+        self.call_executor.start()
         self.readings = 0
 
     def take(self, *calls):
         """Let calls of the owner come, numbered from 1."""
         numbered = [workercalls.NumberedCall(n, c) for n, c in enumerate(calls, 1)]
-        self.carrier.take_calls(OWNER, workercalls.WorkerCalls(tuple(numbered)))
+        self.call_executor.take_calls(OWNER, workercalls.WorkerCalls(tuple(numbered)))
 
     def list_told(self):
         """The numbers that each message to the owner answers."""
@@ -74,7 +74,7 @@
         self.assertEqual([call for call, _ in self.workers.open], list(CALLS))
         self.workers.open[2][1].callback(OUTCOMES[1])
         self.workers.open[0][1].callback(OUTCOMES[0])
-        self.clock.advance(carrying.GATHER_S)
+        self.clock.advance(executing.BATCH_DELAY_S)
         ((address, told),) = self.bus.sent
         self.assertEqual(address, OWNER)
         self.assertEqual(
@@ -129,7 +129,7 @@
         with mock.patch.object(clock, "read_monotonic", self.read_later):
             for _ in range(10):
                 self.readings = 0
-                self.clock.advance(carrying.ALIVE_PERIOD_S)
+                self.clock.advance(executing.ALIVE_PERIOD_S)
         self.assertEqual(len(self.bus.sent), 10)
 
     def read_later(self):
--- a/thornport/cell/peers/receiving.py
+++ b/thornport/cell/peers/receiving.py
@@ -204,7 +204,7 @@
 @take.register
 def carry_calls(message: workercalls.WorkerCalls, daemon, address):
     """The owner wants calls to workers made."""
-    daemon.carrier.take_calls(address, message)
+    daemon.call_executor.take_calls(address, message)
 
 
 @take.register
--- a/thornport/platform/workers_test.py
+++ b/thornport/platform/workers_test.py
@@ -8,7 +8,7 @@
 from twisted.python import failure
 
 from thornport.cell.decisions import messages
-from thornport.cell.dispatch import carrying
+from thornport.cell.dispatch import executing
 from thornport.kernel import httpcalls, httpcalls_test, tasks
 from thornport.platform import platform_test, workers
 
@@ -102,7 +102,7 @@
 
     def call(self, request, connection=None, **answer):
         """Make a call and have it answered; returns the connection."""
-        tasks.spawn(carrying.make_call(request, self.client), "call")
+        tasks.spawn(executing.make_call(request, self.client), "call")
         if getattr(self.reactor, "opened", 0) > self.opened:
             self.opened = self.reactor.opened
             connection = self.reactor.factory.buildProtocol(None)
