--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -342,7 +342,7 @@
     """Read and rebuild once; seconds of processor, elapsed and of the longest pause."""
     calls = httpcalls.HttpCalls(reactor)
     client = store.StoreClient(calls, address, STORE_TIMEOUT_S, metrics.Metrics())
-    client.was_away_within = lambda _: False
+    client.was_unavailable_within = lambda _: False
     session = make_session(client)
     turns = [time.monotonic()]
     loop = task.LoopingCall(lambda: turns.append(time.monotonic()))
--- a/thornport/cell/configuring.py
+++ b/thornport/cell/configuring.py
@@ -115,12 +115,12 @@
         """
         if self._is_reading or self._follower.is_receiving():
             return
-        is_away = self._ports.store.is_away()
-        if self._follower.is_asking_again() and not is_away:
+        is_unavailable = self._ports.store.is_unavailable()
+        if self._follower.is_retrying() and not is_unavailable:
             return
         age_s = self._follower.read_age_s()
         is_told = age_s is not None and age_s < SILENT_S
-        if is_told and not is_away:
+        if is_told and not is_unavailable:
             self._note_told(True)
             return
         self._note_told(False)
@@ -139,7 +139,8 @@
         asked_at = clock.read_monotonic()
         try:
             read = await self._relayed.read_newest(
-                self._ports.config_key, max(self._known_to, self._follower.told_to)
+                self._ports.config_key,
+                max(self._known_to, self._follower.delivered_revision),
             )
         finally:
             self._is_reading = False
--- a/thornport/cell/configuring_test.py
+++ b/thornport/cell/configuring_test.py
@@ -39,8 +39,8 @@
         ports = mock.Mock(config_key=config.CONFIG_KEY)
         ports.decode_config = config.decode_config
         ports.decode_errors = (ValueError,)
-        ports.store.is_away.side_effect = lambda: self.is_away
-        self.is_away = False
+        ports.store.is_unavailable.side_effect = lambda: self.is_unavailable
+        self.is_unavailable = False
         self.is_relay_away = False
         self.relayed_value = make_value(1, "k1")
         relayed = mock.Mock()
@@ -53,12 +53,12 @@
         with mock.patch("thornport.store.watching.follow_key") as follow_key:
             self.told.start()
         self.follow = follow_key.return_value
-        self.follow.told_to = 0
+        self.follow.delivered_revision = 0
         self.age_s = 0.0
         follow_key.return_value.read_age_s = lambda: self.age_s
         self.is_receiving = False
         follow_key.return_value.is_receiving = lambda: self.is_receiving
-        follow_key.return_value.is_asking_again = lambda: False
+        follow_key.return_value.is_retrying = lambda: False
         self.told._take(make_value(1, "k1"), 1)
 
     async def read_by_peer(self, key, known_revision):
@@ -93,7 +93,7 @@
 
     def test_version_that_the_store_does_not_tell_comes_by_way_of_a_peer(self):
         """A process was turned away while keys were taken away, and let them in."""
-        self.is_away = True
+        self.is_unavailable = True
         self.age_s = configuring.CONFIRMED_S + 1
         self.relayed_value = make_value(2, "k2")
         self.clock.advance(configuring.REFRESH_S)
@@ -103,7 +103,7 @@
 
     def test_older_version_of_a_peer_changes_nothing(self):
         self.told._take(make_value(5, "k5"), 5)
-        self.is_away = True
+        self.is_unavailable = True
         self.clock.advance(configuring.REFRESH_S)
         self.assertEqual(self.identify(b"k5"), "press")
 
@@ -128,7 +128,7 @@
         self.assertEqual(self.identify(b"k2"), configuring.Denial.UNCONFIRMED)
 
     def test_peer_is_asked_for_what_is_newer_than_known(self):
-        self.is_away = True
+        self.is_unavailable = True
         self.age_s = configuring.CONFIRMED_S + 1
         self.relayed_value = None
         self.clock.advance(configuring.REFRESH_S)
@@ -137,14 +137,14 @@
 
     def test_question_goes_on_from_where_it_was_last_told(self):
         """The store knows no history of what is older than 20 s."""
-        self.is_away = True
-        self.follow.told_to = 4
+        self.is_unavailable = True
+        self.follow.delivered_revision = 4
         self.relayed_value = None
         self.clock.pump([configuring.REFRESH_S] * 2)
         self.assertEqual(self.asked, [4, 8])
 
     def test_peer_that_cannot_read_confirms_nothing(self):
-        self.is_away = self.is_relay_away = True
+        self.is_unavailable = self.is_relay_away = True
         self.age_s = configuring.CONFIRMED_S + 1
         self.clock.advance(configuring.REFRESH_S)
         self.assertFalse(self.told.is_confirmed())
@@ -153,7 +153,7 @@
 class FakeStore:
     """Answers when told."""
 
-    def is_away(self):
+    def is_unavailable(self):
         """It answers other calls."""
         return False
 
@@ -255,7 +255,7 @@
         ports = mock.Mock(config_key=config.CONFIG_KEY)
         ports.decode_config = config.decode_config
         ports.store = mock.Mock(slowest_s=0.0)
-        ports.store.is_away.return_value = True
+        ports.store.is_unavailable.return_value = True
         bus = mock.Mock()
         relayed = relaying.RelayedStore(reactor, ports.store, bus)
         relayed.peer_addresses = ("p:1", "p:2")
@@ -263,9 +263,9 @@
         told = configuring.Configuring(reactor, ports, relayed, mock.Mock())
         with mock.patch("thornport.store.watching.follow_key") as follow_key:
             follow = follow_key.return_value
-            follow.told_to = 0
+            follow.delivered_revision = 0
             follow.is_receiving.return_value = False
-            follow.is_asking_again.return_value = False
+            follow.is_retrying.return_value = False
             follow.read_age_s.return_value = None
             told.start()
         reactor.advance(configuring.REFRESH_S)
--- a/thornport/cell/owner/following.py
+++ b/thornport/cell/owner/following.py
@@ -167,7 +167,7 @@
 
     def _may_come_back(self):
         """Return whether entries may have lapsed because the store was away lately."""
-        return self._ports.store.was_away_within(learning.RELIST_GRACE_S)
+        return self._ports.store.was_unavailable_within(learning.RELIST_GRACE_S)
 
     def _take_worker_change(self, change):
         if change.value is None:
--- a/thornport/cell/owner/following_test.py
+++ b/thornport/cell/owner/following_test.py
@@ -93,7 +93,7 @@
         press = queue.Queue("press", service="press-desk")
         self.core.take_config(queue.Config(1, (press,)), 0.0)
         self.ports = types.SimpleNamespace(
-            store=types.SimpleNamespace(was_away_within=lambda seconds: False),
+            store=types.SimpleNamespace(was_unavailable_within=lambda seconds: False),
             worker_prefix=entries.ENTRY_PREFIX,
             decode_worker=entries.decode_entry,
             decode_errors=(entries.EntryError,),
--- a/thornport/cell/peers/relaying.py
+++ b/thornport/cell/peers/relaying.py
@@ -73,11 +73,11 @@
     def is_cut_off(self):
         """Whether neither the store nor whoever may reach it is heard."""
         is_unheard = clock.read_monotonic() - self._heard_at > CUT_OFF_S
-        return is_unheard and self._store.is_away()
+        return is_unheard and self._store.is_unavailable()
 
-    def is_away(self):
+    def is_unavailable(self):
         """Whether the store answers neither this process nor a peer within reach."""
-        if not self._store.is_away():
+        if not self._store.is_unavailable():
             return False
         return not self.peer_addresses or self.is_cut_off()
 
@@ -133,9 +133,9 @@
         Not beside an answer that is coming: a large one over a slow link would come
         later for a copy of it.
         """
-        if self.is_away():
+        if self.is_unavailable():
             return result.Failure(port.Unavailable("the store is away"))
-        if self._store.is_away():
+        if self._store.is_unavailable():
             return await self._ask_peer(make_question)
         direct = tasks.spawn(call(), "store-call")
         hedge_s = max(HEDGE_S, HEDGE_TIMES * self._store.slowest_s)
@@ -169,7 +169,7 @@
         first = read_outcome(await answers.get())
         if is_known(first):
             return first
-        if not direct.called and self._store.is_away():
+        if not direct.called and self._store.is_unavailable():
             # The direct call is still open: the write may have been applied.
             return result.Failure(port.Ambiguous("no answer yet"))
         second = read_outcome(await answers.get())
@@ -218,7 +218,7 @@
           address: A str, the peer's.
           message: A peering.RelayRead, RelayNewest or RelayCommit.
         """
-        if self._store.is_away():
+        if self._store.is_unavailable():
             outcome = result.Failure(port.Unavailable("the store is away here too"))
         elif isinstance(message, peering.RelayRead):
             outcome = await self._store.read_key(message.key)
--- a/thornport/cell/peers/relaying_test.py
+++ b/thornport/cell/peers/relaying_test.py
@@ -26,7 +26,7 @@
         self.watched = result.Success(transactions.Changes([], 5))
         self.watching = None
 
-    def is_away(self):
+    def is_unavailable(self):
         """Whether it is away."""
         return self.away
 
@@ -310,13 +310,13 @@
 
     def test_peers_that_are_heard_are_asked(self):
         self.clock.advance(relaying.CUT_OFF_S - 0.1)
-        self.assertFalse(self.relayed.is_away())
+        self.assertFalse(self.relayed.is_unavailable())
         self.commit()
         self.assertEqual(len(self.bus.sent), 1)
 
     def test_nobody_is_asked_when_nobody_is_heard(self):
         self.clock.advance(relaying.CUT_OFF_S + 0.1)
-        self.assertTrue(self.relayed.is_away())
+        self.assertTrue(self.relayed.is_unavailable())
         self.assertTrue(self.relayed.is_cut_off())
         self.commit()
         (outcome,) = self.outcomes
@@ -326,7 +326,7 @@
     def test_first_word_of_a_peer_ends_it(self):
         self.clock.advance(relaying.CUT_OFF_S + 0.1)
         self.relayed.hear_peer()
-        self.assertFalse(self.relayed.is_away())
+        self.assertFalse(self.relayed.is_unavailable())
 
     def test_process_that_the_store_answers_needs_no_peer(self):
         self.store.away = False
--- a/thornport/cell/storestate.py
+++ b/thornport/cell/storestate.py
@@ -42,7 +42,7 @@
 
     def is_there(self):
         """Whether the store answers this process."""
-        return not self._store.is_away()
+        return not self._store.is_unavailable()
 
     def has_answered_lately(self):
         """Whether the store answers this process, and did a moment ago."""
--- a/thornport/cell/storestate_test.py
+++ b/thornport/cell/storestate_test.py
@@ -19,23 +19,26 @@
         with mock.patch.object(self.state, "_prober"):
             self.state.start()
 
-    def look(self, is_away):
+    def look(self, is_unavailable):
         """Let a look find the store away or not; returns whether it is told."""
-        self.store.is_away.return_value = is_away
+        self.store.is_unavailable.return_value = is_unavailable
         self.on_away.reset_mock()
         self.clock.advance(storestate.STORE_CHECK_PERIOD_S)
         return self.on_away.called
 
     def test_store_that_answers_is_not_told_of(self):
-        self.assertFalse(self.look(is_away=False))
+        self.assertFalse(self.look(is_unavailable=False))
         self.assertTrue(self.state.is_there())
 
     def test_each_look_that_finds_it_away_and_the_first_that_does_not_are_told(self):
-        told = [self.look(is_away) for is_away in (False, True, True, False, False)]
+        told = [
+            self.look(is_unavailable)
+            for is_unavailable in (False, True, True, False, False)
+        ]
         self.assertEqual(told, [False, True, True, True, False])
 
     def test_answer_of_long_ago_is_not_a_late_one(self):
-        self.store.is_away.return_value = False
+        self.store.is_unavailable.return_value = False
         self.store.has_answered_within.return_value = False
         self.assertTrue(self.state.is_there())
         self.assertFalse(self.state.has_answered_lately())
--- a/thornport/jobs/intake.py
+++ b/thornport/jobs/intake.py
@@ -134,7 +134,7 @@
         pending = Pending(kept, refuse_at, give_up_at, defer.Deferred())
         pending.may_be_kept = self._may_be_kept(kept.job_id)
         self._open_count_by_id[kept.job_id] += 1
-        if self._store.is_away() and not pending.may_be_kept:
+        if self._store.is_unavailable() and not pending.may_be_kept:
             self._settle(pending, self._refuse("the store is away"), "refused")
             return pending.outcome
         pending.value = record.encode_record(kept)
@@ -213,7 +213,7 @@
         if pending.may_be_kept:
             # Sending it again tells what became of it, unless the store is away.
             patient_until = pending.refuse_at
-            if not self._store.is_away():
+            if not self._store.is_unavailable():
                 patient_until += RESOLVE_S
             if now < min(pending.give_up_at, patient_until):
                 return False
--- a/thornport/jobs/intake_test.py
+++ b/thornport/jobs/intake_test.py
@@ -24,7 +24,7 @@
         self.away = False
         self.cut_off = False
 
-    def is_away(self):
+    def is_unavailable(self):
         """Whether no process reaches the store."""
         return self.away
 
--- a/thornport/store/health.py
+++ b/thornport/store/health.py
@@ -42,7 +42,7 @@
         self._waiting_for_return = []
         self._late_answer_at = None
 
-    def was_away_within(self, seconds):
+    def was_unavailable_within(self, seconds):
         """Tell whether the store is away, or was a moment ago.
 
         Args:
@@ -52,10 +52,10 @@
         """
         if self._back_at is not None:
             since_s = clock.read_monotonic() - self._back_at
-            return self.is_away() or since_s < seconds
-        return self.is_away()
+            return self.is_unavailable() or since_s < seconds
+        return self.is_unavailable()
 
-    def is_away(self):
+    def is_unavailable(self):
         """Whether the store has not answered for a while."""
         now = clock.read_monotonic()
         if self._failing_since is not None and now - self._failing_since > AWAY_S:
@@ -80,7 +80,7 @@
           A bool.
         """
         since_s = clock.read_monotonic() - self._answered_at
-        return since_s < seconds and not self.is_away()
+        return since_s < seconds and not self.is_unavailable()
 
     @property
     def slowest_s(self):
@@ -106,14 +106,14 @@
                 self._failing_since = began_at
         else:
             self._note_answer(clock.read_monotonic() if made_at is None else made_at)
-        is_away = self.is_away()
-        if not is_away:
+        is_unavailable = self.is_unavailable()
+        if not is_unavailable:
             self._end_waits()
-        if is_away != self._was_away:
-            self._was_away = is_away
-            if not is_away:
+        if is_unavailable != self._was_away:
+            self._was_away = is_unavailable
+            if not is_unavailable:
                 self._back_at = clock.read_monotonic()
-            event = "store-lost" if is_away else "store-regained"
+            event = "store-lost" if is_unavailable else "store-regained"
             logs.log(event, reason=outcome.failure().reason if has_failed else "")
         return outcome
 
@@ -123,7 +123,7 @@
         Args:
           reactor: Twisted's reactor.
         """
-        if not self.is_away():
+        if not self.is_unavailable():
             return
         waiting = defer.Deferred()
         self._waiting_for_return.append(waiting)
--- a/thornport/store/health_test.py
+++ b/thornport/store/health_test.py
@@ -61,9 +61,9 @@
         self.succeed()
         self.call()
         self.now += 0.5
-        self.assertFalse(self.store.is_away())
+        self.assertFalse(self.store.is_unavailable())
         self.now += 0.5
-        self.assertTrue(self.store.is_away())
+        self.assertTrue(self.store.is_unavailable())
 
     def test_slowness_is_forgotten_by_fast_answers(self):
         self.call()
@@ -74,27 +74,27 @@
             self.succeed()
         self.call()
         self.now += health.SILENT_S + 0.01
-        self.assertTrue(self.store.is_away())
+        self.assertTrue(self.store.is_unavailable())
 
     def test_one_refused_call_is_not_enough(self):
         self.call()
         self.fail()
-        self.assertFalse(self.store.is_away())
+        self.assertFalse(self.store.is_unavailable())
 
     def test_failing_for_a_while_is_away_until_one_is_answered(self):
         self.call()
         self.fail()
         self.now += health.AWAY_S + 0.01
-        self.assertTrue(self.store.is_away())
+        self.assertTrue(self.store.is_unavailable())
         self.call()
         self.succeed()
-        self.assertFalse(self.store.is_away())
+        self.assertFalse(self.store.is_unavailable())
 
     def test_open_call_is_away_after_a_while(self):
         self.call()
-        self.assertFalse(self.store.is_away())
+        self.assertFalse(self.store.is_unavailable())
         self.now += health.SILENT_S + 0.01
-        self.assertTrue(self.store.is_away())
+        self.assertTrue(self.store.is_unavailable())
 
     def test_open_call_does_not_count_while_others_are_answered(self):
         self.call()
@@ -102,7 +102,7 @@
         self.now += health.SILENT_S + 0.01
         self.fake.waiting.reverse()
         self.succeed()
-        self.assertFalse(self.store.is_away())
+        self.assertFalse(self.store.is_unavailable())
 
     # A link froze, the store fell silent, and at the thaw it counted as back for 0.5 s.
     def test_delayed_watch_answer_does_not_end_an_outage(self):
@@ -117,16 +117,16 @@
                 self.fail()
                 self.now += health.AWAY_S + 0.01
                 self.fake.answer(result.Success(transactions.Changes(changes, 2)))
-                self.assertTrue(self.store.is_away())
+                self.assertTrue(self.store.is_unavailable())
 
     def test_watch_that_is_answered_ends_an_outage(self):
         self.call()
         self.fail()
         self.now += health.AWAY_S + 0.01
         tasks.spawn(self.store.watch("k", 1, 0), "watch")
-        self.assertTrue(self.store.is_away())
+        self.assertTrue(self.store.is_unavailable())
         self.fake.answer(result.Success(transactions.Changes([], 2)))
-        self.assertFalse(self.store.is_away())
+        self.assertFalse(self.store.is_unavailable())
         self.assertTrue(self.store.has_answered_within(1.0))
 
     def test_answer_is_recent_for_a_while_and_until_the_store_is_away(self):
--- a/thornport/store/overload_test.py
+++ b/thornport/store/overload_test.py
@@ -163,13 +163,13 @@
         self.server = Server(TIMES_CALM * CALLS_A_S * count)
         stores = [self.start_process() for _ in range(count)]
         self.pass_time(CALM_S)
-        self.assertFalse(any(store.is_away() for store in stores))
+        self.assertFalse(any(store.is_unavailable() for store in stores))
         self.server.share = SLOW_SHARE
         self.pass_time(SLOW_S)
-        self.assertTrue(any(store.is_away() for store in stores))
+        self.assertTrue(any(store.is_unavailable() for store in stores))
         self.server.share = 1.0
         self.pass_time(BACK_S)
-        away = sum(store.is_away() for store in stores)
+        away = sum(store.is_unavailable() for store in stores)
         self.assertEqual(away, 0, f"{away} of {count}")
 
     # Retries and new connections kept it overloaded for ever.
--- a/thornport/store/probing_test.py
+++ b/thornport/store/probing_test.py
@@ -59,17 +59,17 @@
             self.reactor.advance(0.05)
 
     def test_silence_is_known_without_any_other_call(self):
-        self.assertFalse(self.checked.is_away())
+        self.assertFalse(self.checked.is_unavailable())
         self.store.is_silent = True
         self.pass_time(probing.PROBE_PERIOD_S + health.SILENT_S + 0.1)
-        self.assertTrue(self.checked.is_away())
+        self.assertTrue(self.checked.is_unavailable())
 
     def test_return_is_known_while_earlier_calls_are_open(self):
         self.store.is_silent = True
         self.pass_time(3.0)
         self.store.is_silent = False
         self.pass_time(probing.PROBE_PERIOD_S + 0.05)
-        self.assertFalse(self.checked.is_away())
+        self.assertFalse(self.checked.is_unavailable())
 
     def test_lease_that_is_gone_is_granted_anew(self):
         self.store.leases.clear()
--- a/thornport/store/watching.py
+++ b/thornport/store/watching.py
@@ -48,7 +48,7 @@
     """Follows a prefix until it is stopped.
 
     Attributes:
-      told_to: An int, the store's revision until which all changes were taken.
+      delivered_revision: An int, the store's revision until which all changes were taken.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         self._answer_began_at = None
         self._broke_off_at = None
         self._backoff = backoffs.Backoff()
-        self.told_to = transactions.ABSENT_REVISION
+        self.delivered_revision = transactions.ABSENT_REVISION
 
     def is_receiving(self):
         """Whether an answer has begun to come and has not ended.
@@ -90,7 +90,7 @@
         """
         return self._answer_began_at is not None
 
-    def is_asking_again(self):
+    def is_retrying(self):
         """Whether an answer broke off a moment ago, and is being asked for again.
 
         The first time alone since the store told of the prefix, so that whoever waits
@@ -138,7 +138,7 @@
             if isinstance(watched, result.Success):
                 has_changes = bool(watched.unwrap().changes)
                 self._regain(find_made_at(asked_at, wait_ms, has_changes))
-                at = self.told_to = self._take(watched.unwrap(), at)
+                at = self.delivered_revision = self._take(watched.unwrap(), at)
                 if self._is_key and len(watched.unwrap().changes) > 1:
                     # It changes faster than it comes. A further answer would hold
                     # each version in whole, ever more of them; a read, the newest.
@@ -185,7 +185,7 @@
         self._regain(asked_at)
         items, at = read.unwrap()
         self._take_all(items)
-        self.told_to = at
+        self.delivered_revision = at
         return at
 
     def _note_bytes(self):
--- a/thornport/store/watching_test.py
+++ b/thornport/store/watching_test.py
@@ -170,19 +170,19 @@
             self.store.send_bytes()
             self.clock.advance(0.5)
             self.store.lose()
-            self.assertEqual(self.follower.is_asking_again(), is_first)
+            self.assertEqual(self.follower.is_retrying(), is_first)
             self.clock.advance(watching.AGAIN_S)
-            self.assertFalse(self.follower.is_asking_again())
+            self.assertFalse(self.follower.is_retrying())
         self.store.answer_watch()
         self.store.send_bytes()
         self.clock.advance(0.5)
         self.store.lose()
-        self.assertTrue(self.follower.is_asking_again())
+        self.assertTrue(self.follower.is_retrying())
 
     def test_call_that_is_turned_away_breaks_nothing_off(self):
         self.store.send_bytes()
         self.store.lose()
-        self.assertFalse(self.follower.is_asking_again())
+        self.assertFalse(self.follower.is_retrying())
 
     def test_loss_and_its_end_are_told_once(self):
         with mock.patch.object(watching.logs, "log") as log:
