--- a/thornport/cell/dispatch/__init__.py
+++ b/thornport/cell/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to workers that other processes make for the owner of a large cell."""
+"""Dispatches an owner's calls to workers through other processes of a large cell."""
--- a/thornport/cell/dispatch/assignment.py
+++ b/thornport/cell/dispatch/assignment.py
@@ -1,9 +1,9 @@
-"""Which process makes the calls to which worker: pure.
+"""Assigns workers to the dispatchers that call them, as pure functions of their inputs.
 
-Each data hall gets as many dispatchers as its workers need, chosen among the processes
-there by rendezvous hashing: who owns the cell does not matter, so connections to
-workers stay as they are when the owner changes, and a process that comes or goes moves
-the workers of one dispatcher only.
+Each data hall gets as many dispatchers as its workers need, chosen among its processes
+by rendezvous hashing. The owner has no influence on the choice, so connections to
+workers survive a change of owner, and a process that joins or leaves moves only the
+workers of one dispatcher.
 """
 
 import collections
@@ -13,26 +13,26 @@
 
 from thornport.kernel import ids
 
-# A cell with fewer workers is called by its owner itself: another process on the way
-# makes each call later.
+# The owner calls the workers of a smaller cell directly: a dispatcher adds latency to
+# each call.
 MIN_DISPATCHED_WORKERS = 100
-# So few that a small VM has processor left for its callers; fewer each would send the
-# owner more and smaller messages.
+# Few enough to leave a small VM CPU time for its callers; with fewer the owner would
+# get more and smaller messages.
 WORKERS_PER_DISPATCHER = 30
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """Who calls whom.
+    """The dispatcher of each worker.
 
     Attributes:
-      address_by_worker: Addresses of dispatchers by worker id; workers that are not
-        there are called by the owner itself.
+      address_by_worker: Addresses of dispatchers by worker ID; the owner calls
+        workers without an entry directly.
     """
 
     address_by_worker: dict[str, str]
 
     def list_dispatchers(self):
-        """The addresses of all dispatchers, a frozenset of str."""
+        """Return the addresses of all dispatchers, a frozenset of str."""
         return frozenset(self.address_by_worker.values())
 
 
@@ -40,20 +40,21 @@
 
 
 class Assigner:
-    """Assigns the workers of a cell again and again as it changes.
+    """Updates the assignment of a cell's workers as the cell changes.
 
-    A process that comes or goes costs a look at the workers that move alone: while a
-    large cell starts, processes come and go in each second.
+    A process that joins is compared only with the present dispatcher of each worker,
+    and one that leaves affects only its own workers: while a large cell starts,
+    processes join and leave every second.
     """
 
     __slots__ = ("_holders_by_hall",)
 
     def __init__(self):
-        """Begin with nobody assigned."""
+        """Create an assigner without assignments."""
         self._holders_by_hall = {}
 
     def assign(self, callers, entries):
-        """Share the workers of a cell among processes of their data halls.
+        """Assign the workers of a cell to processes of their data halls.
 
         Args:
           callers: A list of advising.Caller that may be dispatchers.
@@ -77,7 +78,7 @@
             if not names:
                 continue
             known = self._holders_by_hall.get(hall, {})
-            holders = holders_by_hall[hall] = share(worker_ids, names, known)
+            holders = holders_by_hall[hall] = assign_hall(worker_ids, names, known)
             for worker_id, (_, name) in holders.items():
                 address_by_worker[worker_id] = address_by_name[name]
         self._holders_by_hall = holders_by_hall
@@ -85,7 +86,7 @@
 
 
 def assign(callers, entries):
-    """Assign the workers of a cell for the first time; as `Assigner.assign`."""
+    """Assign the workers of a cell without earlier state, as `Assigner.assign`."""
     return Assigner().assign(callers, entries)
 
 
@@ -94,8 +95,8 @@
 
     Args:
       hall: A str.
-      names: An iterable of str, the processes there.
-      worker_count: An int, the workers there.
+      names: An iterable of str, the processes of the hall.
+      worker_count: An int, the workers of the hall.
     Returns:
       A frozenset of str.
     """
@@ -103,26 +104,26 @@
     return frozenset(ids.rank_by_rendezvous(hall, names)[:count])
 
 
-def share(worker_ids, names, known):
-    """Share workers among dispatchers.
+def assign_hall(worker_ids, names, known):
+    """Assign workers to dispatchers by rendezvous hashing.
 
     Args:
       worker_ids: A list of str.
       names: A frozenset of str, the dispatchers; not empty.
-      known: The result of an earlier call, for other names and workers perhaps.
+      known: The result of an earlier call, whose names and workers may differ.
     Returns:
-      A dict by worker id, of pairs as `ids.weigh_by_rendezvous` gives: a weight and
-      the name of the dispatcher that has the highest.
+      A dict by worker ID of pairs as `ids.weigh_by_rendezvous` returns them: the
+      highest weight and the name of the dispatcher that has it.
     """
-    come = names - {name for _, name in known.values()}
+    added = names - {name for _, name in known.values()}
     holders = {}
     for worker_id in worker_ids:
         holder = known.get(worker_id)
-        # Of a holder that stays only those that came can have a higher weight.
-        is_kept = holder is not None and holder[1] in names
-        rivals = come if is_kept else names
+        # Only new dispatchers can outweigh a holder that is still a dispatcher.
+        keeps_holder = holder is not None and holder[1] in names
+        rivals = added if keeps_holder else names
         weights = [ids.weigh_by_rendezvous(worker_id, name) for name in rivals]
-        if is_kept:
+        if keeps_holder:
             weights.append(holder)
         holders[worker_id] = max(weights)
     return holders
--- a/thornport/cell/dispatch/assignment_test.py
+++ b/thornport/cell/dispatch/assignment_test.py
@@ -1,7 +1,7 @@
-"""Who calls which workers of a large cell.
+"""Tests of the assignment of workers to dispatchers.
 
-The cell is that of a large deployment: five data halls, 54 workers in each, 20 of our
-processes in each, most of them on VMs of half a core.
+The cell is that of a large deployment: five data halls with 54 workers and 20 scheduler
+processes each, most of them on VMs of half a core.
 """
 
 import collections
@@ -14,11 +14,11 @@
 HALLS = ("h1", "h2", "h3", "h4", "h5")
 WORKERS = 54
 PROCESSES = 20
-ROOM = spec.Demand(64_000, 262_144, 0)
+CAPACITY = spec.Demand(64_000, 262_144, 0)
 
 
 def make_callers(halls=HALLS, count=PROCESSES):
-    """Make processes, some in each hall."""
+    """Make `count` processes in each hall."""
     return [
         advising.Caller(f"{hall}-{number}", f"{hall}:{number}", 0.0, hall=hall)
         for hall in halls
@@ -27,7 +27,7 @@
 
 
 def make_entries(halls=HALLS, count=WORKERS):
-    """Make the entries of workers, some in each hall."""
+    """Make the entries of `count` workers in each hall."""
     return [
         messages.WorkerEntry(
             f"w-{hall}-{number}",
@@ -35,7 +35,7 @@
             "press",
             hall,
             messages.WorkerState.READY,
-            ROOM,
+            CAPACITY,
         )
         for hall in halls
         for number in range(count)
@@ -51,7 +51,7 @@
         self.found = assignment.assign(self.callers, self.entries)
 
     def count_moved(self, other):
-        """How many workers another assignment gives to another process."""
+        """Count the workers that another assignment gives to another process."""
         before, after = self.found.address_by_worker, other.address_by_worker
         return sum(before[worker_id] != after.get(worker_id) for worker_id in before)
 
@@ -61,23 +61,23 @@
             address = self.found.address_by_worker[entry.worker_id]
             self.assertEqual(address.split(":")[0], entry.hall)
 
-    def test_few_processes_carry_them_and_none_too_many(self):
+    def test_each_hall_has_two_dispatchers_with_bounded_shares(self):
         counts = collections.Counter(self.found.address_by_worker.values())
         self.assertEqual(len(counts), len(HALLS) * 2)
         self.assertLessEqual(
             max(counts.values()), 2 * assignment.WORKERS_PER_DISPATCHER
         )
 
-    def test_loss_of_a_process_moves_its_workers_alone(self):
+    def test_loss_of_a_dispatcher_moves_workers_of_its_hall_only(self):
         lost = sorted(self.found.list_dispatchers())[0]
         left = [caller for caller in self.callers if caller.address != lost]
         moved = self.count_moved(assignment.assign(left, self.entries))
         held = list(self.found.address_by_worker.values()).count(lost)
-        # The process that takes its place gets some of the hall's other workers too.
+        # The replacement also gets some of the hall's other workers.
         self.assertGreaterEqual(moved, held)
         self.assertLessEqual(moved, WORKERS)
 
-    def test_changes_one_after_the_other_come_to_the_same_as_all_at_once(self):
+    def test_incremental_assignment_equals_assignment_from_scratch(self):
         assigner = assignment.Assigner()
         halls = HALLS[:2]
         callers, entries = make_callers(halls, 12), make_entries(halls, 120)
@@ -95,7 +95,7 @@
             wanted = assignment.assign(fit, listed).address_by_worker
             self.assertEqual(assigned, wanted)
 
-    def test_process_that_dispatches_nothing_is_not_missed(self):
+    def test_loss_of_processes_without_workers_moves_none(self):
         idle = [c for c in self.callers if c.address in self.found.list_dispatchers()]
         self.assertEqual(self.count_moved(assignment.assign(idle, self.entries)), 0)
 
@@ -103,13 +103,13 @@
         again = assignment.assign(self.callers[::-1], self.entries[::-1])
         self.assertEqual(again.address_by_worker, self.found.address_by_worker)
 
-    def test_owner_calls_workers_of_a_hall_without_processes_itself(self):
+    def test_workers_of_a_hall_without_processes_get_no_dispatcher(self):
         others = [caller for caller in self.callers if caller.hall != "h1"]
         found = assignment.assign(others, self.entries)
         called = {worker_id[:4] for worker_id in found.address_by_worker}
         self.assertEqual(called, {"w-h2", "w-h3", "w-h4", "w-h5"})
 
-    def test_owner_of_a_small_cell_calls_all_workers_itself(self):
+    def test_small_cell_has_no_dispatchers(self):
         entries = make_entries(("h1",), assignment.MIN_DISPATCHED_WORKERS - 1)
         self.assertEqual(assignment.assign(self.callers, entries), assignment.NOBODY)
 
--- a/thornport/cell/dispatch/dispatching.py
+++ b/thornport/cell/dispatch/dispatching.py
@@ -1,13 +1,14 @@
-"""An owner's calls to workers: by way of dispatchers where there are some.
+"""The owner's calls to workers, sent through dispatchers where some are assigned.
 
-Most of what a call over HTTP takes of the processor is for headers, JSON and
-connections, and the owner of a large cell makes very many. Through a dispatcher it
-sends and gets messages that hold many calls.
+Most of the CPU time of an HTTP call goes to headers, JSON and connections, and the
+owner of a large cell makes very many calls. A message to or from a dispatcher carries
+many of them.
 
-Nothing is decided here, and no rule rests on a dispatcher: orders carry the owner's
-token and absolute deadlines, and one that was sent and has no outcome counts as one
-that may have been carried out. So a dispatcher that is cut off, slow or frozen is a
-worker that does not answer, but that the owner then calls by itself.
+Dispatchers decide nothing and no safety rule depends on them: commands carry the
+owner's token and absolute deadlines, and a command without an outcome counts as one
+that may have been executed. A dispatcher that is cut off, slow or frozen therefore
+has the same effect as a worker that does not answer, except that the owner then calls
+the worker directly.
 """
 
 import msgspec
@@ -18,33 +19,33 @@
 from thornport.cell.peers import workercalls
 from thornport.kernel import clock, ids, logs, tasks
 
-# Calls are gathered so long: urgent tasks are late after some tenths of a second.
+# How long calls are collected into one message; short, because urgent tasks are late
+# after some tenths of a second.
 BATCH_DELAY_S = 0.002
-SWEEP_PERIOD_S = 0.05  # between looks at what is open
-# A dispatcher with open calls that was not heard in this many looks is late: three
-# signs of life are missing. Looks are counted, not time, so that an owner which falls
-# behind takes what has arrived first.
+SWEEP_PERIOD_S = 0.05
+# A dispatcher with open calls is late after this many sweeps without a message from
+# it: three heartbeats are missing. Sweeps are counted instead of time, so that an owner
+# that falls behind first reads the messages that have arrived.
 LATE_SWEEPS = 6
-# One that is still not heard after this many looks is lost: a process on a busy machine
-# may not be run for up to a second.
+# A dispatcher is lost after this many sweeps without a message: a process on a busy VM
+# may get no CPU time for up to a second.
 LOST_SWEEPS = 30
-# A lost dispatcher gets no calls until this long after it fell silent: a process that
-# was killed is back after some seconds.
+# A lost dispatcher gets no calls until this long after it was found late: a process
+# that was killed is back after some seconds.
 LOST_EXCLUSION_S = 2.0
-# How much longer than the worker's own answer that of a dispatcher may take.
+# How much longer than the wait time of a poll its outcome from a dispatcher may take.
 POLL_SLACK_S = 0.6
-COMMAND_TIMEOUT_S = (
-    0.5  # likewise for an order, with the time that the worker has for it
-)
-STOPPED = messages.Unanswered("the owner decides no more")
+# How long a dispatcher may take for a command, including the time that the worker has.
+COMMAND_TIMEOUT_S = 0.5
+STOPPED = messages.Unanswered("the ownership of the cell has ended")
 
 
 class OpenCall(msgspec.Struct, eq=False):
-    """A call that a dispatcher makes.
+    """A call that was passed to a dispatcher and has no outcome yet.
 
     Attributes:
-      waiting: A Deferred of an outcome; of None when it is given up.
-      give_up_at: A float.
+      waiting: A Deferred of an outcome, or of None when the call is given up.
+      give_up_at: A float, the monotonic time at which the call is given up.
     """
 
     waiting: defer.Deferred
@@ -55,13 +56,13 @@
     """A process that calls workers for this owner.
 
     Attributes:
-      address: A str, where it takes messages.
-      unsent: NumberedCalls that are being gathered.
-      open_by_number: Its OpenCalls.
-      unheard_sweeps: An int, how often in a row it was not heard with calls open, or
-        while it was late.
+      address: A str, the address of its message bus.
+      unsent: NumberedCalls that wait for the next message.
+      open_by_number: Its OpenCalls by number.
+      unheard_sweeps: An int, the consecutive sweeps without a message from it while
+        it had open calls or was late.
       late_since: A float, when it was found late; None while it is not late.
-      is_heard: A bool, whether it was heard since it was found late.
+      is_heard: A bool, whether a message from it has arrived since it was found late.
       excluded_until: A float, until when it gets no calls.
     """
 
@@ -75,15 +76,15 @@
 
 
 class DispatchedWorkers:
-    """Calls workers for one ownership, with the calls of a worker client."""
+    """Calls workers during one ownership; has the methods of a worker client."""
 
     def __init__(self, reactor, bus, workers):
-        """Begin without dispatchers.
+        """Start the sweeps; no dispatcher is assigned yet.
 
         Args:
           reactor: Twisted's reactor.
           bus: A bus.Bus.
-          workers: The client of the workers, for what this process calls itself.
+          workers: The worker client for the calls that this process makes directly.
         """
         self._reactor = reactor
         self._bus = bus
@@ -91,7 +92,7 @@
         self._numbers = ids.count_anew()
         self._assigner = assignment.Assigner()
         self._assignment = assignment.NOBODY
-        self._assigned_for = None
+        self._assigned_inputs = None
         self._dispatcher_by_address = {}
         self._sweeping = tasks.call_periodically(
             reactor, SWEEP_PERIOD_S, self._sweep, "sweep-dispatchers"
@@ -99,7 +100,7 @@
         self._is_stopped = False
 
     def close(self):
-        """Make no further call; what is open has no outcome."""
+        """Stop making calls; open calls end with the outcome STOPPED."""
         if self._is_stopped:
             return
         self._is_stopped = True
@@ -108,23 +109,25 @@
             end_all(dispatcher)
 
     def assign(self, callers, entries, now):
-        """Choose the dispatchers anew if processes or workers have changed.
+        """Assign workers to dispatchers again if processes or workers have changed.
 
         Args:
-          callers: A list of advising.Caller that are well.
+          callers: A list of advising.Caller that are healthy.
           entries: A list of messages.WorkerEntry.
           now: A float.
         """
-        fit = [caller for caller in callers if self._may_dispatch(caller.address, now)]
-        asked_for = (
-            frozenset((caller.address, caller.name) for caller in fit),
+        eligible = [
+            caller for caller in callers if self._may_dispatch(caller.address, now)
+        ]
+        inputs = (
+            frozenset((caller.address, caller.name) for caller in eligible),
             frozenset(entry.worker_id for entry in entries),
         )
-        if asked_for == self._assigned_for:
+        if inputs == self._assigned_inputs:
             return
-        self._assigned_for = asked_for
+        self._assigned_inputs = inputs
         before = self._assignment.list_dispatchers()
-        self._assignment = self._assigner.assign(fit, entries)
+        self._assignment = self._assigner.assign(eligible, entries)
         chosen = self._assignment.list_dispatchers()
         if chosen != before:
             logs.log(
@@ -142,52 +145,57 @@
         known = self._dispatcher_by_address.get(address)
         return known is None or now >= known.excluded_until
 
-    # The calls of a worker client.
+    # The methods of a worker client.
 
     async def hold(self, request):
-        """As the client's."""
-        patience_s = request.wait_ms / clock.MS_PER_S + POLL_SLACK_S
-        return await self._call(request, patience_s)
+        """Poll a worker, as the worker client's `hold`."""
+        timeout_s = request.wait_ms / clock.MS_PER_S + POLL_SLACK_S
+        return await self._call(request, timeout_s)
 
     async def start(self, order):
-        """As the client's.
+        """Start a run, as the worker client's `start`.
 
-        A worker takes the same start twice as one. But an answer to the second that
-        says that nothing was done may stand for a run that began and ended meanwhile.
+        A worker executes a repeated start command once. A refusal of the second copy
+        does not rule out that the first one began a run that has ended since.
         """
         return await self._call(order, COMMAND_TIMEOUT_S, resolve_repeated_start)
 
     async def stop(self, order):
-        """As the client's; the same stop twice is one."""
+        """Stop a run, as the worker client's `stop`; repeating it has no effect."""
         return await self._call(order, COMMAND_TIMEOUT_S)
 
-    async def _call(self, call, patience_s, read_second=None):
-        """Make a call by way of a dispatcher; directly if there is none or it is lost.
+    async def _call(self, call, timeout_s, resolve_repeated=None):
+        """Make a call through a dispatcher; directly if none is usable or it gives up.
 
         Args:
           call: A workercalls.Call.
-          patience_s: A float, how long a dispatcher may take.
-          read_second: A callable that reads the outcome of a call that was made twice.
+          timeout_s: A float, how long a dispatcher may take.
+          resolve_repeated: A callable from the outcome of the direct call to that of
+            both, for a call that was passed to a dispatcher before.
         Returns:
           An outcome.
         """
-        asked = self._ask(call, patience_s)
+        asked = self._pass_on(call, timeout_s)
         if asked is None:
             return await executing.make_call(call, self._workers)
         outcome = await wait(asked)
         if outcome is not None or self._is_stopped:
             return outcome or STOPPED
         second = await executing.make_call(call, self._workers)
-        return read_second(second) if read_second is not None else second
+        return resolve_repeated(second) if resolve_repeated is not None else second
 
     def forget(self, address):
-        """As the client's."""
+        """Close the connections to a worker, as the worker client's `forget`."""
         self._workers.forget(address)
 
-    # What passes to and from dispatchers.
+    # Messages to and from dispatchers.
 
-    def _ask(self, call, patience_s):
-        """Have a call made; a Deferred, or None when nobody is there to make it."""
+    def _pass_on(self, call, timeout_s):
+        """Pass a call to the worker's dispatcher.
+
+        Returns:
+          A Deferred as `OpenCall.waiting`; None if no dispatcher is usable.
+        """
         address = self._assignment.address_by_worker.get(call.worker_id)
         now = clock.read_monotonic()
         if address is None or not self._may_dispatch(address, now):
@@ -199,7 +207,7 @@
             return None
         number = next(self._numbers)
         waiting = defer.Deferred()
-        dispatcher.open_by_number[number] = OpenCall(waiting, now + patience_s)
+        dispatcher.open_by_number[number] = OpenCall(waiting, now + timeout_s)
         if not dispatcher.unsent:
             self._reactor.callLater(BATCH_DELAY_S, self._send, dispatcher)
         dispatcher.unsent.append(workercalls.NumberedCall(number, call))
@@ -214,10 +222,10 @@
             self._lose(dispatcher, "not connected", clock.read_monotonic())
 
     def take_outcomes(self, address, message):
-        """Take what came of calls.
+        """Receive the outcomes of calls from a dispatcher.
 
         Args:
-          address: A str, of the dispatcher.
+          address: A str, the dispatcher's.
           message: A workercalls.WorkerOutcomes.
         """
         dispatcher = self._dispatcher_by_address.get(address)
@@ -232,7 +240,7 @@
             end_call(dispatcher, numbered.number, numbered.outcome)
 
     def _sweep(self):
-        """Find late and lost dispatchers; give up what has been open for too long."""
+        """Find late and lost dispatchers; give up calls that have timed out."""
         now = clock.read_monotonic()
         for dispatcher in list(self._dispatcher_by_address.values()):
             is_late = dispatcher.late_since is not None
@@ -244,16 +252,16 @@
                 self._check_late(dispatcher)
                 continue
             if dispatcher.unheard_sweeps >= LATE_SWEEPS:
-                self._bypass(dispatcher, now)
+                self._mark_late(dispatcher, now)
                 continue
             for number, open_call in list(dispatcher.open_by_number.items()):
                 if now > open_call.give_up_at:
                     end_call(dispatcher, number, None)
 
-    def _bypass(self, dispatcher, now):
-        """Make the calls of a late dispatcher here until it is heard again.
+    def _mark_late(self, dispatcher, now):
+        """Call the workers of a late dispatcher directly until it is back.
 
-        It keeps its workers: to assign them anew costs more than a short stall.
+        Its workers stay assigned to it: moving them costs more than a short stall.
         """
         dispatcher.late_since = now
         dispatcher.is_heard = False
@@ -265,20 +273,20 @@
         end_all(dispatcher)
 
     def _check_late(self, dispatcher):
-        """Ask a late dispatcher for a sign of life; it is back once heard and reached.
+        """Probe a late dispatcher; it is back once it is heard and connected.
 
-        The bus replaces a connection that was silent for its heartbeat's time, and the
-        first sign of life arrives before the new one is made.
+        The bus replaces a connection that was silent for its heartbeat's time, and a
+        message from the dispatcher can arrive before the new connection is made.
         """
-        question = workercalls.WorkerCalls(())
-        is_reached = self._bus.send(dispatcher.address, "", question)
+        probe = workercalls.WorkerCalls(())
+        is_reached = self._bus.send(dispatcher.address, "", probe)
         if is_reached and dispatcher.is_heard:
-            self._take_back(dispatcher)
+            self._restore(dispatcher)
         elif dispatcher.unheard_sweeps >= LOST_SWEEPS:
             reason = "not connected" if dispatcher.is_heard else "silent"
             self._lose(dispatcher, reason, dispatcher.late_since)
 
-    def _take_back(self, dispatcher):
+    def _restore(self, dispatcher):
         late_s = clock.read_monotonic() - dispatcher.late_since
         dispatcher.late_since = None
         dispatcher.unheard_sweeps = 0
@@ -289,12 +297,12 @@
         )
 
     def _lose(self, dispatcher, reason, since):
-        """Leave a dispatcher out for a while; its open calls are made here.
+        """Exclude a dispatcher for a while; its open calls are made directly.
 
         Args:
           dispatcher: A Dispatcher.
           reason: A str for the log.
-          since: A float, when it fell silent.
+          since: A float, from when the exclusion counts.
         """
         dispatcher.excluded_until = since + LOST_EXCLUSION_S
         dispatcher.late_since = None
@@ -312,23 +320,23 @@
     """Wait for the outcome of a call.
 
     Args:
-      waiting: A Deferred, which whoever looks again may cancel.
+      waiting: A Deferred, which a later poll of the worker may cancel.
     Returns:
-      An outcome; None when it was given up.
+      An outcome; None when the call was given up.
     """
     try:
         return await waiting
     except defer.CancelledError:
-        return messages.Unanswered("ended by a later look")
+        return messages.Unanswered("cancelled by a later poll")
 
 
 def end_call(dispatcher, number, outcome):
-    """End an open call; one that has ended is passed over.
+    """End an open call; does nothing if it has ended.
 
     Args:
       dispatcher: A Dispatcher.
       number: An int.
-      outcome: An outcome, None to give it up.
+      outcome: An outcome; None to give the call up.
     """
     open_call = dispatcher.open_by_number.pop(number, None)
     if open_call is not None and not open_call.waiting.called:
@@ -336,25 +344,25 @@
 
 
 def end_all(dispatcher):
-    """Give up all calls of a dispatcher."""
+    """Give up all open calls of a dispatcher."""
     dispatcher.unsent = []
     for number in list(dispatcher.open_by_number):
         end_call(dispatcher, number, None)
 
 
 def resolve_repeated_start(outcome):
-    """Read the outcome of a start that an earlier copy may have carried out.
+    """Resolve the outcome of a start command that was sent twice.
 
     Args:
-      outcome: An outcome of the later copy.
+      outcome: The outcome of the second copy.
     Returns:
-      The outcome if it tells of both; else an Unanswered.
+      The outcome if it holds for both copies; else an Unanswered.
     """
     if isinstance(outcome, messages.Rejected):
-        tells_of_both = outcome.reason is messages.Rejection.REPLACED
+        holds_for_both = outcome.reason is messages.Rejection.REPLACED
     else:
-        tells_of_both = not isinstance(outcome, messages.NotReached)
-    if tells_of_both:
+        holds_for_both = not isinstance(outcome, messages.NotReached)
+    if holds_for_both:
         return outcome
     reason = getattr(outcome.reason, "value", outcome.reason)
     return messages.Unanswered(f"sent twice, then: {reason}")
--- a/thornport/cell/dispatch/executing_test.py
+++ b/thornport/cell/dispatch/executing_test.py
@@ -1,4 +1,4 @@
-"""A process that makes calls to workers for an owner."""
+"""Tests of the execution of calls to workers for an owner."""
 
 import itertools
 import unittest
@@ -13,7 +13,7 @@
 
 OWNER = "h1:9"
 STEP_S = 0.001
-# Half of the time after which an owner makes the calls itself.
+# Half of the time after which an owner makes the calls directly.
 LONGEST_GAP_S = dispatching.LATE_SWEEPS * dispatching.SWEEP_PERIOD_S / 2 + STEP_S
 KEY = messages.TaskKey("a", 0, 0, 1)
 CALLS = (
@@ -35,19 +35,19 @@
 
 
 class FakeWorkers(dispatching_test.FakeWorkers):
-    """Workers of which some are forgotten."""
+    """A worker client that records the addresses it forgets."""
 
     def __init__(self):
         super().__init__()
         self.forgotten = []
 
     def forget(self, address):
-        """Keep the address."""
+        """Record an address."""
         self.forgotten.append(address)
 
 
-class Carry(unittest.TestCase):
-    """Calls of one owner."""
+class Execute(unittest.TestCase):
+    """A process that executes the calls of one owner."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -61,47 +61,47 @@
         self.readings = 0
 
     def take(self, *calls):
-        """Let calls of the owner come, numbered from 1."""
+        """Deliver calls of the owner, numbered from 1."""
         numbered = [workercalls.NumberedCall(n, c) for n, c in enumerate(calls, 1)]
         self.call_executor.take_calls(OWNER, workercalls.WorkerCalls(tuple(numbered)))
 
-    def list_told(self):
-        """The numbers that each message to the owner answers."""
-        return [[one.number for one in told.outcomes] for _, told in self.bus.sent]
+    def list_sent_numbers(self):
+        """Return the call numbers in each message to the owner."""
+        return [[one.number for one in sent.outcomes] for _, sent in self.bus.sent]
 
-    def test_outcomes_go_back_together_by_their_numbers(self):
+    def test_outcomes_are_returned_in_one_message_by_number(self):
         self.take(*CALLS)
         self.assertEqual([call for call, _ in self.workers.open], list(CALLS))
         self.workers.open[2][1].callback(OUTCOMES[1])
         self.workers.open[0][1].callback(OUTCOMES[0])
         self.clock.advance(executing.BATCH_DELAY_S)
-        ((address, told),) = self.bus.sent
+        ((address, sent),) = self.bus.sent
         self.assertEqual(address, OWNER)
         self.assertEqual(
-            told.outcomes,
+            sent.outcomes,
             (
                 workercalls.NumberedOutcome(3, OUTCOMES[1]),
                 workercalls.NumberedOutcome(1, OUTCOMES[0]),
             ),
         )
 
-    def test_owner_hears_that_it_lives_while_calls_are_open(self):
+    def test_owner_gets_heartbeats_while_calls_are_open(self):
         self.take(CALLS[0])
         self.clock.pump([0.1] * 3)
-        self.assertEqual(self.list_told(), [[], [], []])
+        self.assertEqual(self.list_sent_numbers(), [[], [], []])
         self.workers.open[0][1].callback(OUTCOMES[0])
         self.clock.pump([0.1] * 5)
-        self.assertEqual(self.list_told(), [[], [], [], [1]])
+        self.assertEqual(self.list_sent_numbers(), [[], [], [], [1]])
 
-    # Guards against a dispatcher without open calls that can't show that it lives.
+    # Guards against a live dispatcher without open calls that cannot answer a probe.
     def test_message_without_calls_is_answered_at_once(self):
         self.take()
-        self.assertEqual(self.list_told(), [[]])
+        self.assertEqual(self.list_sent_numbers(), [[]])
         self.clock.pump([0.1] * 5)
-        self.assertEqual(self.list_told(), [[]])
+        self.assertEqual(self.list_sent_numbers(), [[]])
 
-    def list_tell_times(self, seconds):
-        """When the owner is told something in the time that passes."""
+    def list_send_times(self, seconds):
+        """Advance the clock; return the times of the messages to the owner."""
         times = []
         for _ in range(round(seconds / STEP_S)):
             before = len(self.bus.sent)
@@ -109,22 +109,22 @@
             times += [self.clock.seconds()] * (len(self.bus.sent) - before)
         return times
 
-    def test_owner_is_never_long_without_a_word_while_calls_are_open(self):
-        """An outcome just before or after a sign of life is due leaves no gap."""
+    def test_gap_between_messages_is_bounded_while_calls_are_open(self):
+        """An outcome sent just before or after a heartbeat is due leaves no gap."""
         for ends_after_s in (0.005, 0.03, 0.06, 0.09):
             with self.subTest(ends_after_s=ends_after_s):
                 self.take(CALLS[0], CALLS[0])
-                self.list_tell_times(0.1)
-                told = self.list_tell_times(ends_after_s)
+                self.list_send_times(0.1)
+                send_times = self.list_send_times(ends_after_s)
                 self.workers.open[-1][1].callback(OUTCOMES[0])
-                told += self.list_tell_times(0.4)
-                gaps = [later - one for one, later in itertools.pairwise(told)]
+                send_times += self.list_send_times(0.4)
+                gaps = [later - one for one, later in itertools.pairwise(send_times)]
                 self.assertLessEqual(max(gaps), LONGEST_GAP_S)
                 self.workers.open[-2][1].callback(OUTCOMES[0])
                 self.clock.advance(1.0 - self.clock.seconds() % 1.0)
 
-    def test_sign_of_life_that_was_a_little_late_is_followed_in_time(self):
-        """The clock goes on between the look at it and the word to the owner."""
+    def test_heartbeat_sent_slightly_late_does_not_suppress_the_next(self):
+        """The clock advances between the check and the sending of a heartbeat."""
         self.take(CALLS[0])
         with mock.patch.object(clock, "read_monotonic", self.read_later):
             for _ in range(10):
@@ -133,18 +133,18 @@
         self.assertEqual(len(self.bus.sent), 10)
 
     def read_later(self):
-        """The time, a little later with each reading."""
+        """Return a time that advances with each reading."""
         self.readings += 1
         return self.clock.seconds() + self.readings * 1e-5
 
-    def test_worker_that_is_not_called_any_more_is_forgotten(self):
+    def test_idle_worker_is_forgotten(self):
         self.take(CALLS[0])
         self.clock.pump([1.0] * 5)
         self.assertEqual(self.workers.forgotten, [])
         self.clock.pump([1.0] * 12)
         self.assertEqual(self.workers.forgotten, ["h1:w"])
 
-    def test_all_that_passes_is_the_same_on_the_other_side(self):
+    def test_messages_survive_encoding_and_decoding(self):
         numbered = tuple(workercalls.NumberedCall(7, call) for call in CALLS)
         ended = tuple(workercalls.NumberedOutcome(7, one) for one in OUTCOMES)
         for message in (
