--- a/thornport/cell/decisions/batches.py
+++ b/thornport/cell/decisions/batches.py
@@ -1,9 +1,9 @@
-"""Batches of records: a start goes out only once its record is kept.
+"""Batches of records: a start is sent only once its record is persisted.
 
-So a successor knows each worker that may run a task. A store that is slow may keep a
-record for longer than a ticket holds. The run then stays where it was decided and its
-start is sent under the next ticket: decided and recorded anew, it would be as late
-again, and nothing that needs advice would start for as long as the store is slow.
+So a successor knows each worker that may run a task. A slow store may take longer to
+persist a record than a ticket is valid. The run then stays assigned to its worker, and
+its start is sent with the next ticket: if it were placed and recorded anew, it would be
+as late again, and nothing that needs advice would start while the store is slow.
 """
 
 import collections
@@ -22,19 +22,17 @@
 )
 from thornport.jobs import record
 
-# Of a transaction's 32 entries, two are conditions and one the head; a job that is
-# over takes two: its own key is written, its progress removed.
+# A transaction has 32 entries: two are conditions and one is the head. A job that is
+# over takes two more: its own key is written, its progress removed.
 MAX_BATCH_JOBS = 14
-KEYS_PER_FORGOTTEN_JOB = (
-    3  # of a job that is forgotten: its own, its cancel's, its progress'
-)
-# A start waits so long for its next ticket, two calls of the longest kind; its room may
-# serve others then.
+KEYS_PER_FORGOTTEN_JOB = 3  # its record, its cancel and its progress
+# How long a start waits for its next ticket: two of the longest calls for advice. Its
+# capacity is then released for others.
 TICKET_WAIT_S = 3.0
 
 
 class DecidedState(msgspec.Struct, frozen=True):
-    """The state of a job that is shown once it is kept."""
+    """The state of a job that becomes visible once it is persisted."""
 
     job_id: str
     state: record.JobState
@@ -42,14 +40,14 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """What one transaction keeps.
+    """What one transaction persists.
 
     Attributes:
       progress_by_job: Bytes by job id.
-      runs: The Runs whose starts may go out once this is kept.
+      runs: The Runs whose starts may be sent once the batch is persisted.
       states: DecidedStates of the jobs.
       forgotten: Ids of jobs whose records are removed.
-      closed_by_job: What stands for jobs that are over, bytes by job id; their
+      closed_by_job: Closing records of jobs that are over, bytes by job id; their
         progress is removed.
     """
 
@@ -61,13 +59,13 @@
 
 
 class Batches(incarnations.Incarnations, ticketing.Ticketing):
-    """Makes the batches and sends the starts that they keep."""
+    """Makes the batches and sends the starts whose records they persist."""
 
     def make_batch(self):
-        """Take the next records to keep.
+        """Take the next records to persist.
 
         Returns:
-          A Batch, or None when there is nothing to keep.
+          A Batch, or None when there is nothing to persist.
         """
         free = (job_id for job_id in self.dirty if job_id not in self._in_flight)
         job_ids = list(itertools.islice(free, MAX_BATCH_JOBS))
@@ -88,20 +86,20 @@
         )
 
     def _take_recording(self, job_ids):
-        """Take the runs of some jobs off those whose record is to be kept."""
+        """Take the runs of some jobs out of those whose record is to be persisted."""
         runs = [run for run in self._recording if run.key.job_id in job_ids]
         self._recording = [r for r in self._recording if r.key.job_id not in job_ids]
         return runs
 
     def _take_forgotten(self, count):
-        """Take the first IDs of jobs that are to be forgotten."""
+        """Take the first ids of jobs whose records are to be removed."""
         job_ids = list(self.forgotten)[:count]
         for job_id in job_ids:
             del self.forgotten[job_id]
         return job_ids
 
     def take_persisted(self, batch, sent_at, now):
-        """Take that a batch is in the store: its starts may go out.
+        """Note that a batch is persisted, so its starts may be sent.
 
         Args:
           batch: The Batch, or None when only the ownership was confirmed.
@@ -119,7 +117,7 @@
                 self._unacked_ids.discard(worker_id)
 
     def _ack_ends(self, worker):
-        """Let a worker forget the ends that are in the store."""
+        """Acknowledge the ends that are persisted, so a worker may forget them."""
         while worker.unpersisted_ends:
             end = worker.unpersisted_ends[0]
             if end.job_id in self.dirty or end.job_id in self._in_flight:
@@ -141,7 +139,7 @@
         self._send_starts(batch.runs, now)
 
     def take_advice(self, request, answer, now):
-        """As `ticketing` takes it; then send the starts that waited for the tickets.
+        """Take it as `ticketing` does, then send the starts that waited for tickets.
 
         Args:
           request, answer, now: As there.
@@ -154,7 +152,7 @@
         self._send_starts(awaited, now)
 
     def _release_refused(self, runs, now):
-        """Release the runs of a step at workers that advice has no tickets for."""
+        """Release the runs of a step at workers that advice issued no tickets for."""
         for run in runs:
             if run.state is not model.RunState.RECORDING:
                 continue
@@ -172,7 +170,7 @@
         self._unticketed = filter_recording(self._unticketed)
 
     def _send_starts(self, runs, now):
-        """Send the starts of runs whose records are kept, or have them wait.
+        """Send the starts of runs whose records are persisted, or let them wait.
 
         Args:
           runs: A list of model.Run.
@@ -181,14 +179,16 @@
         runs_by_step = collections.defaultdict(list)
         for run in runs:
             runs_by_step[run.step_key].append(run)
-        for alike in runs_by_step.values():
-            self._release_unfit(alike, now)
-            # A gang that is released is released as a whole.
-            alike = [run for run in alike if run.state is model.RunState.RECORDING]
-            self._send_alike(alike, now)
+        for step_runs in runs_by_step.values():
+            self._release_unfit(step_runs, now)
+            # A gang is released as a whole.
+            step_runs = [
+                run for run in step_runs if run.state is model.RunState.RECORDING
+            ]
+            self._send_step_starts(step_runs, now)
 
     def _recheck_awaited(self, now):
-        """Look again at the runs that wait for tickets: a version may forbid them.
+        """Recheck the runs that wait for tickets: a new version may forbid them.
 
         Args:
           now: A float.
@@ -200,7 +200,7 @@
                 self._send_starts(self._unticketed.pop(key), now)
 
     def _release_unfit(self, runs, now):
-        """Release the runs that may not start any more where they were to.
+        """Release the runs that may no longer start at their workers.
 
         Args:
           runs: A list of model.Run.
@@ -211,9 +211,10 @@
                 self._release_run(run, now)
 
     def _is_unfit(self, run):
-        """Whether a worker leaves, lost room or restarted, or a version forbids a run.
+        """Whether a run may not start where it was placed, for its worker or a version.
 
-        Keeping the record, and the wait for a ticket, take their time.
+        While its record is persisted or its ticket awaited, the worker may leave, lose
+        capacity or restart, and a new version may forbid the run.
         """
         job = self.jobs_by_id[run.key.job_id]
         worker = self.workers_by_id[run.worker_id]
@@ -226,8 +227,8 @@
             or self.usage.is_over_limit(job.record.workspace)
         )
 
-    def _send_alike(self, runs, now):
-        """Send the starts of runs of one step whose tickets hold; the others wait.
+    def _send_step_starts(self, runs, now):
+        """Send the starts of runs of one step with valid tickets; the others wait.
 
         Members of a gang end if they wait long for the others, so all start or none.
         """
@@ -241,7 +242,7 @@
                 self._send_start(run, now)
 
     def _is_late(self, run, now):
-        """Whether a run needs a ticket, and the one at hand has lapsed."""
+        """Whether a run needs a ticket and its present one has lapsed."""
         job = self.jobs_by_id[run.key.job_id]
         if self._queue_of(job).advice is None:
             return False
@@ -249,7 +250,7 @@
         return now > step.read_ticket_deadline(run.worker_id)
 
     def _await_ticket(self, run, now):
-        """Keep a run for its next ticket, which the next round asks for."""
+        """Hold a run for its next ticket, which the next scheduling pass requests."""
         if run.ticket_until is None:
             run.ticket_until = now + TICKET_WAIT_S
         self._unticketed.setdefault(run.step_key, []).append(run)
@@ -278,23 +279,23 @@
 
 
 def filter_recording(runs_by_step):
-    """Leave out the runs whose starts were sent or will not be.
+    """Keep only the runs whose starts are still to be sent.
 
     Args:
       runs_by_step: Lists of model.Run by messages.StepKey.
     Returns:
-      The same of the others.
+      Lists of the remaining model.Run by messages.StepKey.
     """
-    kept = {}
+    remaining = {}
     for key, runs in runs_by_step.items():
         awaited = [run for run in runs if run.state is model.RunState.RECORDING]
         if awaited:
-            kept[key] = awaited
-    return kept
+            remaining[key] = awaited
+    return remaining
 
 
 def encode_progress(jobs):
-    """Encode the progress of the jobs that go on.
+    """Encode the progress of the jobs that are not closed.
 
     Args:
       jobs: A list of model.JobEntry.
@@ -309,7 +310,7 @@
 
 
 def encode_closed(jobs):
-    """Encode what stands for the jobs that are over.
+    """Encode the closing records of the jobs that are over.
 
     Args:
       jobs: A list of model.JobEntry.
--- a/thornport/cell/decisions/cellstate.py
+++ b/thornport/cell/decisions/cellstate.py
@@ -1,14 +1,14 @@
-"""What the parts of an owner's decisions share.
+"""The state that the parts of an owner's decisions share.
 
-Each part is a class over this state with one duty; `core.CellCore` joins them.
+Each part is a class over this state with one duty; `core.CellCore` combines them.
 """
 
 import collections
 
 from thornport.cell.decisions import advising, asking, messages, shares, usage
 
-# Lost workers that are remembered, to tell many that are lost at once: more than a rack
-# has, and than an eighth of a large cell.
+# Recently lost workers that are remembered, to detect that many are lost at once: more
+# than a rack holds, and more than an eighth of a large cell.
 MAX_RECENT_LOSSES = 1024
 
 
@@ -16,30 +16,30 @@
     """All that an owner knows.
 
     Attributes:
-      token: An int, the fencing token; it rises when a key that ran out is got back.
-      confirmed_at: A float, when the last transaction that succeeded was sent.
-      is_fenced: Whether a worker has seen a higher token: a successor decides.
+      token: An int, the fencing token; it rises when an expired key is claimed again.
+      confirmed_at: A float, when the last successful transaction was sent.
+      is_fenced: Whether a worker has seen a higher token, so that a successor decides.
       commands: Messages to carry out, emptied by `core.CellCore.take_commands`.
       notes: What is to be logged, emptied by `core.CellCore.take_notes`.
-      dirty: Ids of jobs whose record is out of date, in order.
+      dirty: Ids of jobs whose records are out of date, in order.
       forgotten: Ids of jobs whose records are to be removed, in order.
-      jobs_by_id, workers_by_id: The state.
+      jobs_by_id, workers_by_id: The model.JobEntry and model.Worker by id.
       callers: The advising.Callers.
       usage: The usage.Usage of the workspaces.
-      needs_pass: Whether a round of placement could start more.
+      needs_pass: Whether a scheduling pass could start more.
     """
 
     def __init__(self, token, now, earlier_over_at, status_s, overshoot=0.0):
-        """Begin.
+        """Initialize the state.
 
         Args:
           token: An int, the fencing token of this ownership.
           now: A float.
-          earlier_over_at: A float, when all that earlier owners started at
-            workers that do not answer is over.
-          status_s: A float, how long callers ask for a job after its end.
-          overshoot: A float, by what share of it the limit of a workspace may be
-            passed.
+          earlier_over_at: A float, when all runs that earlier owners started at
+            workers that do not answer are over.
+          status_s: A float, how long callers may read a job's state after its end.
+          overshoot: A float, the share of a workspace's limit by which usage may
+            exceed it.
         """
         self.token = token
         self._earlier_over_at = earlier_over_at
@@ -49,7 +49,7 @@
         self.commands = []
         self.notes = []
         self.dirty = {}
-        # Jobs whose records are being kept: each is in one batch at a time.
+        # Jobs whose records are being persisted: each is in one batch at a time.
         self._in_flight = set()
         self.forgotten = {}
         self.jobs_by_id = {}
@@ -68,42 +68,43 @@
         self._recent_losses = collections.deque(maxlen=MAX_RECENT_LOSSES)
         # Workers to which a task that may crash them was sent; see `crashes`.
         self._trial_ids = set()
-        self._lossy_until = now  # answers of workers are being lost until then
-        # placing.Candidates by kind of step, of whole services by name, and when they
-        # were listed.
+        self._lossy_until = now  # until then, answers of workers are being lost
+        # placing.Candidates by kind of step, those of whole services by name, and when
+        # they were listed.
         self._candidates_by_kind = {}
         self._listed_at = now
-        # Workers with ends that are not in the store yet: few of thousands at a time.
+        # Workers with ends not persisted yet: few of thousands at a time.
         self._unacked_ids = set()
-        # Runs whose starts wait until their records are kept.
+        # Runs whose starts wait until their records are persisted.
         self._recording = []
-        # Runs whose records are kept and whose tickets have lapsed meanwhile, by step.
+        # Runs with persisted records whose tickets have lapsed meanwhile, by step.
         self._unticketed = {}
         self._open_advice_by_step = {}
-        # Calls for advice that were given up, the first since the last answer.
+        # Calls for advice that were given up: the first one since the last answer.
         self._late_advice_by_step = {}
         self._wanted_calls = asking.WantedCalls()
         self._advice_shares = asking.FairShares()
-        # Jobs that are being kept, and jobs whose end is not decided.
+        # Jobs being accepted; `_unended_by_id` has the jobs whose end is not decided.
         self._incoming_by_id = {}
-        # learning.EarlyWords while the records are read, in order; None else.
+        # learning.DeferredUpdates while the records are read, in order; None otherwise.
         self._deferred_updates = None
         self._unended_by_id = {}
-        # Whether waits under owners before are restored: the first tick tells the date.
+        # Whether waits under earlier owners are restored: the first tick does it, as it
+        # brings the wall-clock time.
         self._has_ticked = False
         self.needs_pass = False
-        # The reserving.Reservations of the last round for all; None before the first.
+        # The reserving.Reservations of the last full scheduling pass; None before it.
         self._last_reserved = None
-        # Rank and step to which the last round for all did not come first, or None.
+        # Rank and first step that the last full scheduling pass did not reach, or None.
         self._resume_at = None
 
     def _queue_of(self, job):
-        """The queue as configured now, or as it was when the job was taken."""
-        kept = job.record.queue
-        return self._queues_by_name.get(kept.name, kept)
+        """The queue as configured now, or else as it was when the job was accepted."""
+        accepted = job.record.queue
+        return self._queues_by_name.get(accepted.name, accepted)
 
     def _charge_run(self, worker, run):
-        """Count a run against the room of its worker and the limit of its workspace."""
+        """Count a run against its worker's capacity and its workspace's limit."""
         worker.add_run(run)
         job = self.jobs_by_id.get(run.key.job_id)
         self.usage.add(run, job.record.workspace if job is not None else "")
@@ -116,5 +117,5 @@
         return job.steps_by_key.get(messages.StepKey(key.job_id, key.time, key.step))
 
     def _mark_dirty(self, job):
-        """Have the record of a job written anew."""
+        """Have the record of a job written again."""
         self.dirty[job.job_id] = None
--- a/thornport/cell/decisions/core.py
+++ b/thornport/cell/decisions/core.py
@@ -1,8 +1,8 @@
-"""The decisions of a cell's owner: what is told in, orders and records out.
+"""The decisions of a cell's owner: events in, commands and records out.
 
 No I/O and no clock: each method takes the time and leaves commands in `commands`
-and jobs to record in `dirty`. A start goes out only once the record that
-names it is kept, so a successor knows each worker that may run a task.
+and jobs to record in `dirty`. A start command is sent only once the record that
+names it is persisted, so a successor knows each worker that may run a task.
 """
 
 from thornport.cell.decisions import (
@@ -22,8 +22,8 @@
 from thornport.kernel import clock
 
 MAX_PASS_STEPS = passes.MAX_PASS_STEPS
-INCOMING_S = 5.0  # a job that is not accepted by then was refused
-LATE_STATUS_S = 10.0  # beyond the time that a job's state is asked for
+INCOMING_S = 5.0  # a job not accepted after this time was refused
+LATE_STATUS_S = 10.0  # added to the time that a job's state may be read for
 
 
 class CellCore(
@@ -34,10 +34,10 @@
     explaining.Explaining,
     batches.Batches,
 ):
-    """All that an owner knows, and what it decides; see cellstate.CellState."""
+    """All that an owner knows and decides; see cellstate.CellState."""
 
     def take_config(self, config, now):
-        """As `learning` takes it; then look again at what waits for its tickets.
+        """Take it as `learning` does, then recheck the runs that wait for tickets.
 
         Args:
           config, now: As there.
@@ -48,7 +48,7 @@
     # Time.
 
     def tick(self, now, wall_ms):
-        """Do what is due: lapsed leases, repeated stops, times, old jobs.
+        """Do what is due: lapsed leases, repeated stops, due times, old jobs.
 
         Args:
           now: A float.
@@ -67,14 +67,15 @@
         for job in list(self._unended_by_id.values()):
             if job.record.job.repeats:
                 self._begin_due_times(job, now, wall_ms)
-        self._forget_old(now)
+        self._remove_expired(now)
         self.needs_pass = True
 
     def _restore_waits(self, now, wall_ms):
-        """Take that jobs waited under earlier owners for as long as since they came.
+        """Count the waits of jobs under earlier owners from when they were accepted.
 
-        Users allow a job 3 s beside room, whoever owns the cell. When the last run of a
-        job that has begun ended no record tells, so its wait begins anew.
+        Users allow a job to wait 3 s beside free capacity, whoever owns the cell. No
+        record shows when the last run of a job that has begun ended, so the wait of
+        such a job begins anew.
 
         Args:
           now: A float.
@@ -112,7 +113,7 @@
                 self._begin_time(job, time)
                 job.last_active_at = now
 
-    def _forget_old(self, now):
+    def _remove_expired(self, now):
         limit_s = self._status_s + LATE_STATUS_S
         for job in list(self.jobs_by_id.values()):
             is_old = job.ended_at is not None and now - job.ended_at > limit_s
@@ -123,23 +124,23 @@
     # Reading.
 
     def take_commands(self):
-        """Take the messages to carry out."""
+        """Take the messages to carry out, and empty the list."""
         commands, self.commands = self.commands, []
         return commands
 
     def take_notes(self):
-        """Take what is to be logged, a list of messages of `notes`."""
+        """Take what is to be logged, a list of the types in `notes`."""
         taken, self.notes = self.notes, []
         return taken
 
     def read_state(self, job_id, caller=workspace.OPERATOR):
-        """Read the kept state of a job.
+        """Read the persisted state of a job.
 
         Args:
           job_id: A str.
           caller: The workspace.Caller who asks.
         Returns:
-          A record.JobState, or None if no job is known that the caller may see.
+          A record.JobState, or None if the job is unknown or hidden from the caller.
         """
         job = self.jobs_by_id.get(job_id)
         if job is None or not caller.may_see(job.record):
--- a/thornport/cell/decisions/messages.py
+++ b/thornport/cell/decisions/messages.py
@@ -1,8 +1,8 @@
-"""What passes between the decisions of a cell and the world around them.
+"""The messages between a cell's decisions and the code that carries them out.
 
-Requests and orders go out, answers come in. Every order names the life of
-the worker that it is meant for and carries the owner's fencing token. What passes to
-and from workers may go by way of another process, so it can be told apart by a tag.
+Requests and commands go out, answers come in. Every command names the worker
+incarnation that it is meant for and carries the owner's fencing token. Messages to and
+from workers may be relayed by another process, so they are tagged with their type.
 """
 
 import enum
@@ -39,7 +39,7 @@
 
 
 class WorkerState(enum.Enum):
-    """What a worker says of itself."""
+    """The state that a worker reports of itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -49,17 +49,17 @@
     """A worker as it is listed in the store.
 
     Attributes:
-      worker_id: A str, of this life of the worker.
+      worker_id: A str.
       address: A str, `IP:PORT`.
-      service: A str, the pool it is in.
+      service: A str, the pool that it belongs to.
       hall: A str, its data hall.
       state: A WorkerState.
-      total: Demand, what it has.
-      labels: A frozenset of str, what steps may ask for.
+      total: Demand, its whole capacity.
+      labels: A frozenset of str that steps may require.
       rack: A str.
-      leaves_in_ms: An int, the least time until it leaves; 0 if unknown.
-      started_at_ms: An int, milliseconds since 1970, when this life of the worker
-        started; None if it does not say. A worker may start again under its id.
+      leaves_in_ms: An int, the minimum time until it leaves; 0 if unknown.
+      started_at_ms: An int, milliseconds since 1970, when this incarnation of the
+        worker started; None if not stated. A worker may restart under its id.
     """
 
     worker_id: str
@@ -74,12 +74,12 @@
     started_at_ms: int | None = None
 
     def read_leaves_at(self, now):
-        """Say when the worker leaves.
+        """Compute when the worker leaves.
 
         Args:
           now: A float, when the entry was read.
         Returns:
-          A float, or None when it does not leave, or does not say when.
+          A float, or None when it does not leave or does not state when.
         """
         if self.state is not WorkerState.DRAINING or not self.leaves_in_ms:
             return None
@@ -87,13 +87,13 @@
 
 
 class PollAgain(msgspec.Struct, frozen=True):
-    """Look at a worker at once: end the look that waits there, if one does."""
+    """Poll a worker at once, and end the poll that waits there, if any."""
 
     worker_id: str
 
 
 class RunningRow(msgspec.Struct, frozen=True, array_like=True):
-    """A run that is live at a worker, as the worker tells it.
+    """A run that is live at a worker, as the worker reports it.
 
     Attributes:
       percent: An int, its progress.
@@ -117,7 +117,7 @@
 
 
 class EndRow(msgspec.Struct, frozen=True, array_like=True):
-    """The end of a run; `number` rises from 1 in each life of a worker."""
+    """The end of a run; `number` rises from 1 in each incarnation of a worker."""
 
     number: int
     key: TaskKey
@@ -127,12 +127,12 @@
 
 
 class HoldRequest(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Renew the lease of all that runs at a worker, and look.
+    """A poll: renew the lease of all that runs at a worker, and read its runs.
 
     Attributes:
-      deadline_ms: An int on the worker's clock; 0 to look alone.
-      last_seen: An int; ends up to this number are forgotten there.
-      wait_ms: An int, how long the answer may wait for an end.
+      deadline_ms: An int on the worker's clock; 0 to renew no lease.
+      last_seen: An int; the worker forgets ends up to this number.
+      wait_ms: An int, how long the worker may delay the answer until a run ends.
     """
 
     worker_id: str
@@ -144,10 +144,10 @@
 
 
 class HoldAnswer(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """What a worker tells of its runs, at `clock_ms` of its own clock.
+    """A worker's report of its runs, at `clock_ms` of its own clock.
 
     Attributes:
-      started_at_ms: As in WorkerEntry, of the life that answers.
+      started_at_ms: As in WorkerEntry, of the incarnation that answers.
     """
 
     clock_ms: int
@@ -171,7 +171,7 @@
 
 
 class StopOrder(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Stop a run; one that is not there yet is barred from starting."""
+    """Stop a run; a run that has not arrived yet is barred from starting."""
 
     worker_id: str
     address: str
@@ -181,7 +181,7 @@
 
 
 class Rejection(enum.Enum):
-    """Why a worker did not do as told; nothing was done."""
+    """Why a worker rejected a command; nothing was done."""
 
     FENCED = "fence"
     OLD = "old"
@@ -194,13 +194,13 @@
 
 
 class Done(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """An order was carried out, at `clock_ms` of the worker's clock."""
+    """A command was carried out, at `clock_ms` of the worker's clock."""
 
     clock_ms: int
 
 
 class Rejected(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """An order was not carried out, and will not be."""
+    """A command was not carried out and will not be."""
 
     reason: Rejection
 
@@ -217,10 +217,10 @@
 
 
 class Unanswered(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """No answer: the call may have been carried out, or may be later.
+    """No answer: the call may have been carried out, or may still be.
 
     Attributes:
-      is_broken_off: Whether the connection ended before the call's time was over.
+      is_broken_off: Whether the connection ended before the call timed out.
     """
 
     reason: str
@@ -228,21 +228,21 @@
 
 
 class AdviceRequest(msgspec.Struct, frozen=True):
-    """Ask which of some workers may run a step."""
+    """Asks which of some workers may run a step."""
 
     step: StepKey
     worker_ids: tuple[str, ...]
 
 
 class Ticket(msgspec.Struct, frozen=True):
-    """The permission of a worker's life to run a step."""
+    """The permission for a worker's incarnation to run a step."""
 
     worker_id: str
     text: str
 
 
 class AdviceAnswer(msgspec.Struct, frozen=True):
-    """The workers that may run a step, for `valid_ms` from the answer on."""
+    """The workers that may run a step, valid for `valid_ms` from the answer on."""
 
     good: tuple[Ticket, ...]
     valid_ms: int
--- a/thornport/cell/decisions/model.py
+++ b/thornport/cell/decisions/model.py
@@ -1,7 +1,7 @@
-"""What the owner of a cell knows: workers, runs, steps and jobs.
+"""The owner's model of a cell: workers, runs, steps and jobs.
 
-A task has one live run at most. A run counts against its worker's room from
-the moment it is decided on until it is surely over.
+A task has at most one live run. A run counts against its worker's capacity from
+the decision to start it until it is certainly over.
 """
 
 import collections
@@ -13,26 +13,26 @@
 from thornport.cell.decisions import messages
 from thornport.jobs import record, spec
 
-# A worker's clock may run this much slower than ours (the users' bound).
+# The users' bound: the least rate of a worker's clock against the owner's.
 MIN_CLOCK_RATE = 0.98
-LAPSE_MARGIN_S = 0.1  # for timers that fire late, ours and the worker's
-NO_TICKET = ("", -math.inf)  # text and deadline, where advice has given none
+LAPSE_MARGIN_S = 0.1  # allows for timers that fire late, the owner's and the worker's
+NO_TICKET = ("", -math.inf)  # text and deadline where advice has issued no ticket
 GANG_INDEX = -1  # stands for all tasks of a gang
-# Estimates are rough, so a worker's pace is the mean of many ends; the oldest
-# fade, for a worker may turn slow.
+# Job estimates are rough, so a worker's pace is averaged over many ended tasks. Old
+# samples fade, since a worker may become slow.
 MAX_PACE_SAMPLES = 40
-MIN_PACE_SAMPLES = 6  # ends until a worker's pace counts for anything
-PACE_GRADE_WIDTH = 0.12  # of the logarithm; less than paces of workers differ
+MIN_PACE_SAMPLES = 6  # below it the pace is taken as unknown
+PACE_GRADE_WIDTH = 0.12  # in log units, less than the workers' paces differ
 
 
 class RunState(enum.Enum):
     """The states of a run that may be live.
 
-    RECORDING: decided; no order goes out before the store has it.
-    ORDERED: the worker was told; RUNNING: the worker has it.
-    UNHEARD: recorded by an earlier owner; the worker has not been asked.
-    STOPPING: to be stopped, and live until that is sure.
-    OVER: surely not live any more.
+    RECORDING: decided; the start command is sent only once the record is persisted.
+    ORDERED: the start command was sent; RUNNING: the worker has confirmed the run.
+    UNHEARD: recorded by an earlier owner; the worker has not been polled yet.
+    STOPPING: being stopped; live until the stop is certain.
+    OVER: certainly not live any more.
     """
 
     RECORDING = "recording"
@@ -43,7 +43,7 @@
     OVER = "over"
 
 
-# Of a run of which no worker has said that it began.
+# States of runs whose start no worker has confirmed.
 UNCONFIRMED_STATES = frozenset({RunState.RECORDING, RunState.ORDERED})
 
 
@@ -51,18 +51,18 @@
     """A run that may be live.
 
     Attributes:
-      commanded_at: A float, when the worker was told; None before.
-      known_since: A float, when this owner ordered it, or first heard that it runs.
-      stop_confirmed_at: A float, when the worker took the stop; None before.
-      stop_due_at: A float, when the stop is to be sent (again).
-      percent: An int, the progress last heard, at `percent_at`.
-      address: A str, the worker's; empty if it is not known.
-      worker_started_at_ms: An int, of the life of the worker that it was given to; None
-        if that is not known.
-      ticket_until: A float, when a start whose record is kept is given up if its next
-        ticket has not come; None while it waits for none.
-      is_joint_trial: Whether it was started on trial beside others of its step; see
-        `crashes`.
+      commanded_at: A float, when the start command was sent; None before.
+      known_since: A float, when this owner commanded it or first heard that it runs.
+      stop_confirmed_at: A float, when the worker confirmed the stop; None before.
+      stop_due_at: A float, when the stop command is to be sent or repeated.
+      percent: An int, the progress last reported, at `percent_at`.
+      address: A str, the worker's address; empty if unknown.
+      worker_started_at_ms: An int, when the worker's incarnation started; None if
+        unknown.
+      ticket_until: A float, when a start whose record is persisted is given up unless
+        its next ticket has come; None while it waits for no ticket.
+      is_joint_trial: Whether it was started as a trial together with other tasks of its
+        step; see `crashes`.
       trial_points: An int, the crash points of its task when it was started.
     """
 
@@ -90,15 +90,15 @@
 
     @property
     def demand(self):
-        """The Demand that counts against the worker's room."""
+        """The Demand that counts against the worker's capacity."""
         return self.step.demand
 
 
 class UnpersistedEnd(msgspec.Struct, frozen=True):
-    """An end of a run that a worker told of, and that is not in the store yet.
+    """An end of a run that a worker reported and that is not persisted yet.
 
     Attributes:
-      number: An int, by which the worker is told that it may forget the end.
+      number: An int that acknowledges the end, so that the worker may forget it.
       job_id: A str.
     """
 
@@ -107,11 +107,11 @@
 
 
 class ListedWorker(msgspec.Struct, frozen=True):
-    """An entry of a worker as the store has it.
+    """A worker's entry in the store.
 
     Attributes:
       entry: A messages.WorkerEntry.
-      revision: An int, the store's.
+      revision: An int, the store's revision of the entry.
     """
 
     entry: messages.WorkerEntry
@@ -119,49 +119,50 @@
 
 
 class Worker(msgspec.Struct, eq=False):
-    """A life of a worker.
+    """An incarnation of a worker.
 
     Attributes:
-      entry: Its messages.WorkerEntry; that of an earlier life until its own has come.
+      entry: Its messages.WorkerEntry; that of an earlier incarnation until then.
       started_at_ms: An int, when it started, by its answers once it is heard; None if
-        it does not say.
+        it does not state that.
       fence: An int, higher than that of each incarnation before; see `incarnations`.
-      other_listed: A ListedWorker of another life under this id; None if there is none.
-      doubted_at: A float, when the store told of another life than the one that
-        answers; None once a later look is answered.
-      earlier: The Worker of the life that ended unseen, until it is known what of its
-        runs is over; None else.
+      other_listed: A ListedWorker of another incarnation under this id, or None.
+      doubted_at: A float, when the store listed another incarnation than the one that
+        answers; None once a later poll is answered.
+      earlier: The Worker of the incarnation that ended unnoticed, until it is known
+        which of its runs are over; None otherwise.
       revision: An int, the store's revision of the entry; 0 if there was none and
-        all that is known of the worker is from the records of its runs.
-      leaves_at: A float, when it leaves at the earliest; None if it did not say.
+        the worker is known only from the records of its runs.
+      leaves_at: A float, the earliest time at which it leaves; None if not stated.
       is_listed: Whether the store lists it.
       unlisted_at: A float, when an entry that lapsed in an outage of the store counts
-        as gone; None while it is there.
+        as removed; None while the entry exists.
       is_heard: Whether it has answered this owner.
       used: Demand of its live runs.
       runs_by_key: Its live Runs by TaskKey.
-      clock_ms: An int of its clock, heard at `heard_at`.
-      granted_ms: An int on its clock, the latest deadline ever sent to it.
-      unheard_until: A float; if never heard by this owner, all that an
-        earlier owner started is over then.
-      seen_number, acked_number: Ends taken in; ends kept in the store.
+      clock_ms: An int, its clock as reported at `heard_at`.
+      granted_ms: An int on its clock, the latest lease deadline ever sent to it.
+      unheard_until: A float; if this owner has never heard it, all runs that an
+        earlier owner started there are over by then.
+      seen_number, acked_number: Numbers of the last end taken in and of the last one
+        that is persisted.
       unpersisted_ends: UnpersistedEnds, in order of their numbers.
-      failures: An int, failed runs since one was done.
-      stalls: An int, how often all its tasks stood still since any went on.
-      avoid_until: A float; it gets no starts before, for its calls fail.
-      suspected_until: A float; before, it gets starts of jobs alone of which nothing
-        runs for long, since tasks failed or stood still there.
-      unanswered_at: A float, when the last look failed; None after an answer.
-      silent_since: A float, when the first call failed since the worker answered a
-        look; None after an answer.
-      is_broken_off: Whether a look that waited there broke off at `silent_since`, so
-        that it was there until then.
-      filling_count, serving_count: Live runs that use what others leave, and
+      failures: An int, failed runs since the last one that was done.
+      stalls: An int, how often all its tasks stalled since any made progress.
+      avoid_until: A float; it gets no starts before then, because calls to it fail.
+      suspected_until: A float; tasks failed or stalled there, so until then it gets
+        only starts of jobs of which nothing has run for long.
+      unanswered_at: A float, when the last poll failed; None after an answer.
+      silent_since: A float, when the first call failed since the worker last answered
+        a poll; None after an answer.
+      is_broken_off: Whether the connection of a waiting poll broke at `silent_since`,
+        so that the worker was up until then.
+      filling_count, serving_count: Live runs that use leftover capacity, and
         live runs that serve users of their own.
-      trial: The Run, started here last, of a task that may have crashed a worker; None
-        if there was none. Nothing else starts until it has gone on for a while.
-      pace_count, pace_log: Ends so far, and the mean logarithm of the time that
-        a task took against its estimate.
+      trial: The last Run started here of a task that may have crashed a worker, or
+        None. Nothing else starts until it has run for a while.
+      pace_count, pace_log: The number of samples, and the mean logarithm of the ratio
+        of a task's run time to its estimate.
     """
 
     entry: messages.WorkerEntry
@@ -201,7 +202,7 @@
     _free: spec.Demand | None = None
 
     def update_entry(self, listed, now):
-        """Take its entry, new or changed.
+        """Take its new or changed entry.
 
         Args:
           listed: A ListedWorker.
@@ -215,16 +216,16 @@
         self.unlisted_at = None
 
     def has_own_entry(self):
-        """Whether its entry is its own: another life may have another room."""
+        """Whether its entry is its own: incarnations may differ in capacity."""
         is_own = self.entry.started_at_ms == self.started_at_ms
         return is_own and self.doubted_at is None
 
     def note_pace(self, took_s, estimate_ms):
-        """Take the time that a task took here.
+        """Add the run time of a task to the worker's pace.
 
         Args:
           took_s: A float, seconds.
-          estimate_ms: An int, the job's own guess.
+          estimate_ms: An int, the job's estimate.
         """
         if took_s <= 0 or estimate_ms <= 0:
             return
@@ -233,54 +234,54 @@
         self.pace_log += (sample - self.pace_log) / self.pace_count
 
     def note_silence(self, now, is_broken_off=False):
-        """Take that a call failed: the worker may be gone since.
+        """Note that a call failed: the worker may be gone since then.
 
         Args:
           now: A float.
-          is_broken_off: Whether it was there until then, see the attribute.
+          is_broken_off: Whether it was up until then; see the attribute.
         """
         if self.silent_since is None:
             self.silent_since = now
             self.is_broken_off = is_broken_off
 
     def avoid(self, until):
-        """Give it no starts before a time, a float; a later one holds."""
+        """Give it no starts before a time, a float; the latest such time holds."""
         self.avoid_until = max(self.avoid_until, until)
 
     def suspect(self, until):
-        """Give it few starts before a time, a float; a later one holds."""
+        """Give it few starts before a time, a float; the latest such time holds."""
         self.suspected_until = max(self.suspected_until, until)
 
     def grade_pace(self):
-        """Grade the worker's pace, an int: lower is faster; 0 if not known."""
+        """Grade the worker's pace, an int: lower is faster; 0 if unknown."""
         if self.pace_count < MIN_PACE_SAMPLES:
             return 0
         return round(self.pace_log / PACE_GRADE_WIDTH)
 
     @property
     def worker_id(self):
-        """A str, the id of this life."""
+        """A str, the worker's id."""
         return self.entry.worker_id
 
     def compute_free(self):
-        """The room that is left, as a Demand; kept, for rounds ask again and again."""
+        """The free capacity, a Demand; cached, since passes ask for it often."""
         if self._free is None:
             self._free = self.entry.total.subtract(self.used)
         return self._free
 
     def read_clock_ms(self, now):
-        """Estimate the worker's clock; it is behind this if it runs slow."""
+        """Estimate the worker's clock; a slow clock is behind the estimate."""
         return self.clock_ms + int((now - self.heard_at) * 1000)
 
     def compute_lapse_at(self):
-        """Say when every lease sent to it is over, whatever was lost."""
+        """Compute when every lease sent to it is over, whichever messages were lost."""
         if not self.is_heard:
             return self.unheard_until
         left_s = max(0, self.granted_ms - self.clock_ms) / 1000
         return self.heard_at + left_s / MIN_CLOCK_RATE + LAPSE_MARGIN_S
 
     def add_run(self, run):
-        """Count a run against the room."""
+        """Count a run against the capacity."""
         self.runs_by_key[run.key] = run
         self.used = self.used.add(run.demand)
         self._free = None
@@ -288,7 +289,7 @@
         self.serving_count += run.step.tail_target_ms > 0
 
     def remove_run(self, run):
-        """Free the room of a run."""
+        """Free the capacity of a run."""
         if self.runs_by_key.get(run.key) is run:
             del self.runs_by_key[run.key]
             self.used = self.used.subtract(run.demand)
@@ -298,7 +299,7 @@
 
 
 class StepState(msgspec.Struct, eq=False):
-    """A step of a job at one of its times.
+    """A step of a job at one of the job's times.
 
     Attributes:
       key: Its messages.StepKey.
@@ -307,31 +308,31 @@
       done: Indexes of tasks that are done.
       live_by_index: Live Runs by task index.
       failures_by_index: Failed runs by task index; GANG_INDEX for a gang.
-      checkpoints_by_index: The latest checkpoint, likewise.
+      checkpoints_by_index: The latest checkpoints, keyed likewise.
       crash_points_by_index: Evidence that a task crashes its workers, by task index,
         also in a gang; see `crashes`.
-      trial_due_by_index: Floats, when a task that may crash its workers may be tried
-        again, likewise; none where it need not be delayed.
-      avoided_by_index: Ids of workers on which a task failed, likewise.
-      last_run: An int, the highest run number given out.
+      trial_due_by_index: Floats, keyed likewise: when a task that may crash its workers
+        may be tried again; no entry if it need not be delayed.
+      avoided_by_index: Ids of workers on which a task failed, keyed likewise.
+      last_run: An int, the highest run number assigned.
       is_done: Whether every task is done.
-      is_advanced: Whether its job has taken note of that.
+      is_advanced: Whether its job has processed that.
       tickets_by_worker: Pairs of ticket text and its deadline.
-      asked_ids: Ids of workers that advice was asked about.
+      asked_ids: Ids of workers that advice was requested for.
       permitted_ids: Those of them that may run the step.
       scan_offset: An int, how many workers were scanned without finding one with free
-        capacity that advice may be asked about.
+        capacity that advice may be requested for.
       is_advising: Whether a call for advice is open.
-      has_unused_advice: Whether advice came that no round has used yet.
-      retry_advice_at: A float, no call for advice before.
-      idle_since: A float, since when it may start and no run of its job is known to go
-        on, or, if its tasks last, since when one of them waits; None while that is not
-        so.
-      waiting_since_by_index: Floats, since when tasks that last wait to run.
-      reported_stall: The reasons told of its present stall; empty before.
-      stall_due_at: A float, when what holds it is looked at again.
-      is_late_reported: Whether it was told that it waits past its job's objective.
-      is_at_limit: Whether it was told that it waits for its workspace's limit.
+      has_unused_advice: Whether advice came that no scheduling pass has used yet.
+      retry_advice_at: A float, no call for advice is made before.
+      idle_since: A float, since when it may start while no run of its job is known to
+        progress, or, if its tasks are lasting, since when one of them waits; None
+        otherwise.
+      waiting_since_by_index: Floats, since when lasting tasks wait to run.
+      reported_stall: The reasons reported for its present stall; empty before.
+      stall_due_at: A float, when its blockers are checked again.
+      is_late_reported: Whether its wait past its job's objective was reported.
+      is_at_limit: Whether its wait for its workspace's limit was reported.
     """
 
     key: messages.StepKey
@@ -364,18 +365,18 @@
     is_at_limit: bool = False
 
     def read_ticket_deadline(self, worker_id):
-        """When the ticket for a worker lapses, a float; minus infinity for none."""
+        """When a worker's ticket lapses, a float; minus infinity if it has none."""
         _, deadline = self.tickets_by_worker.get(worker_id, NO_TICKET)
         return deadline
 
     def forget_advice(self):
-        """Drop the tickets and ids of workers; nothing of it starts any more."""
+        """Drop the tickets and worker ids, so that none of its tasks start."""
         self.tickets_by_worker.clear()
         self.asked_ids.clear()
         self.permitted_ids.clear()
 
     def forget_worker(self, worker_id):
-        """Drop what advice and failed runs said of a worker, by its id, a str."""
+        """Drop what advice and failed runs showed about a worker, by its id, a str."""
         self.tickets_by_worker.pop(worker_id, None)
         self.asked_ids.discard(worker_id)
         self.permitted_ids.discard(worker_id)
@@ -383,7 +384,7 @@
             avoided.discard(worker_id)
 
     def index_for(self, index):
-        """The index that failures and checkpoints of a task are kept under."""
+        """The index under which a task's failures and checkpoints are stored."""
         return GANG_INDEX if self.spec.gang else index
 
 
@@ -393,18 +394,18 @@
     Attributes:
       record: Its record.JobRecord.
       order: An int that rises with acceptance.
-      state: The record.JobState decided; shown to callers once kept.
+      state: The record.JobState decided; visible to callers once persisted.
       persisted_state: The record.JobState that the store has.
-      cause: The record.FailureCause of a job that has failed; None else.
-      steps_by_key: Its StepStates that have come into being, by StepKey.
-      times_done: An int, how many of its times are over, from the first on.
-      has_begun: Whether any task has been told to start.
-      ended_at: A float, when its end was kept; None before.
+      cause: The record.FailureCause of a job that has failed; None otherwise.
+      steps_by_key: Its StepStates created so far, by StepKey.
+      times_done: An int, how many of its times are over, counted from the first.
+      has_begun: Whether a start of any task has been decided.
+      ended_at: A float, when its end was persisted; None before.
       arrived_at: A float, when this owner learned of it.
       is_within_share: Whether its workspace had not exceeded its share when the job was
         accepted; see `shares`.
-      last_active_at: A float, when a run of it was last known to go on, or, if that is
-        later, when it was accepted, a time of it was due or its limit held it.
+      last_active_at: A float, when a run of it was last known to progress or, if later,
+        when it was accepted, a time of it was due or its limit blocked it.
     """
 
     record: record.JobRecord
@@ -423,7 +424,7 @@
     last_active_at: float = 0.0
 
     def __post_init__(self):
-        """Begin to count from when this owner learned of it."""
+        """Count it as active when this owner learned of it."""
         self.last_active_at = max(self.last_active_at, self.arrived_at)
 
     @property
@@ -437,15 +438,15 @@
         return [messages.StepKey(self.job_id, time, n) for n in range(count)]
 
     def close(self):
-        """Hold its state alone: its steps, with their tickets, are many bytes.
+        """Keep only its state: its steps with their tickets take much memory.
 
-        Runs that are to end yet keep their room by their workers.
+        Runs that have yet to end keep their capacity at their workers.
         """
         self.steps_by_key.clear()
         self.record = record.close_job(self.record, self.state, self.cause)
 
     def is_starting(self):
-        """Whether a start of it is on its way to a worker."""
+        """Whether a start of it is not yet confirmed by a worker."""
         return any(
             run.state in UNCONFIRMED_STATES
             for step in self.steps_by_key.values()
--- a/thornport/cell/decisions/notes.py
+++ b/thornport/cell/decisions/notes.py
@@ -1,7 +1,7 @@
-"""What the decisions of an owner tell its log, where no order or answer shows it.
+"""Decisions of an owner that are logged because no command or answer shows them.
 
-A run that ends with its worker has no end that a worker could list, so this is all
-that tells why its task starts again.
+A run that ends with its worker has no end that a worker could report, so these notes
+alone show why its task starts again.
 """
 
 import enum
@@ -13,13 +13,13 @@
 
 
 class WorkerEnd(enum.Enum):
-    """How it was known that all that ran at a worker is over.
+    """What showed that all runs at a worker are over.
 
-    REPLACED: a worker with another id has its address, by the answer to a call.
-    RESTARTED: a worker with its id that started at another time has its address, by the
-      answer to a look.
-    LEFT: it was draining, and its port refuses.
-    LAPSED: it is silent, and every lease that was sent to it is over.
+    REPLACED: the answer to a call showed that a worker with another id has its address.
+    RESTARTED: the answer to a poll showed that a worker with its id, started at another
+      time, has its address.
+    LEFT: it was draining, and its port refuses connections.
+    LAPSED: it is silent, and every lease sent to it is over.
     """
 
     REPLACED = "replaced"
@@ -29,15 +29,15 @@
 
 
 class RunLost(msgspec.Struct, frozen=True):
-    """A run that may have begun is over because its worker is.
+    """A run that may have begun is over because its worker is over.
 
     Attributes:
       how: A WorkerEnd.
-      ran_ms: An int, from its start to the first call that its worker did not answer;
-        None when an earlier owner started it.
-      beside: An int, the other runs at the worker.
-      points, points_in_all: Ints, what this says against its task, and all of that so
-        far; see `crashes`.
+      ran_ms: An int, the time from its start to the first call that its worker did not
+        answer; None when an earlier owner started it.
+      beside: An int, the number of other runs at the worker.
+      points, points_in_all: Ints, the crash points of its task for this loss, and in
+        total; see `crashes`.
     """
 
     key: messages.TaskKey
@@ -51,14 +51,14 @@
 
 
 class LimitWait(msgspec.Struct, frozen=True):
-    """A step begins to wait for the limit of its workspace, or does so no more.
+    """A step begins or ends waiting for the limit of its workspace.
 
     Attributes:
       workspace: A str.
-      is_waiting: Whether it begins.
-      used: Demand, what counts against the limit.
-      limit: Demand; None if there is none any more.
-      version: An int, of the configuration that the limit is from.
+      is_waiting: Whether the wait begins.
+      used: Demand, the usage that counts against the limit.
+      limit: Demand; None if there is no limit any more.
+      version: An int, the version of the configuration that the limit is from.
     """
 
     key: messages.StepKey
@@ -70,7 +70,7 @@
 
 
 class StartGivenUp(msgspec.Struct, frozen=True):
-    """A start whose record was kept is not sent: no ticket came for it in time."""
+    """A start with a persisted record is not sent: no ticket came for it in time."""
 
     key: messages.TaskKey
     run: int
@@ -78,13 +78,14 @@
 
 
 class IncarnationOver(msgspec.Struct, frozen=True):
-    """The life of a worker is over.
+    """The incarnation of a worker is over.
 
     Attributes:
-      how: A WorkerEnd, which says what proved it.
-      started_at_ms: An int, when it had started; None if that is not known.
-      next_started_at_ms: An int, of the life that answers instead; None else.
-      runs: An int, how many runs it had by what was known.
+      how: A WorkerEnd, which states what proved it.
+      started_at_ms: An int, when it had started; None if unknown.
+      next_started_at_ms: An int, when the incarnation that answers instead started;
+        None if there is none.
+      runs: An int, how many runs it was known to have.
     """
 
     worker_id: str
--- a/thornport/cell/decisions/outcomes.py
+++ b/thornport/cell/decisions/outcomes.py
@@ -1,44 +1,44 @@
-"""What came of the orders to workers: of starts and of stops."""
+"""Handling of the outcomes of start and stop commands."""
 
 from thornport.cell.decisions import ending, messages, model
 
 
 class Outcomes(ending.Ending):
-    """Takes the answers to orders.
+    """Takes the answers to commands.
 
-    A start without an answer may have arrived: its run counts as live until a
+    A start command without an answer may have arrived: its run counts as live until a
     stop is confirmed or its lease is over.
     """
 
-    def take_stop_outcome(self, order, outcome, now):
-        """Take the answer to a stop.
+    def take_stop_outcome(self, command, outcome, now):
+        """Take the answer to a stop command.
 
         Args:
-          order: The messages.StopOrder.
+          command: The messages.StopOrder.
           outcome: A messages.Done, Rejected, NotReached or Unanswered.
           now: A float.
         """
-        worker = self.workers_by_id.get(order.worker_id)
-        if worker is None or order.token != self.make_token(worker):
-            # What a life that is over has stopped is not barred at the next.
+        worker = self.workers_by_id.get(command.worker_id)
+        if worker is None or command.token != self.make_token(worker):
+            # A run barred at an incarnation that is over is not barred at the next.
             return
-        run = worker.runs_by_key.get(order.key)
+        run = worker.runs_by_key.get(command.key)
         if isinstance(outcome, messages.Rejected):
-            self._take_rejection(worker, order, outcome, now)
-        elif isinstance(outcome, messages.Done) and run and run.run == order.run:
+            self._take_rejection(worker, command, outcome, now)
+        elif isinstance(outcome, messages.Done) and run and run.run == command.run:
             run.stop_confirmed_at = now
 
-    def take_start_outcome(self, order, outcome, now):
-        """Take the answer to a start.
+    def take_start_outcome(self, command, outcome, now):
+        """Take the answer to a start command.
 
         Args:
-          order: The messages.StartOrder.
+          command: The messages.StartOrder.
           outcome: A messages.Done, Rejected, NotReached or Unanswered.
           now: A float.
         """
-        worker = self.workers_by_id.get(order.worker_id)
-        run = worker.runs_by_key.get(order.key) if worker else None
-        if run is None or run.run != order.run:
+        worker = self.workers_by_id.get(command.worker_id)
+        run = worker.runs_by_key.get(command.key) if worker else None
+        if run is None or run.run != command.run:
             return
         if isinstance(outcome, messages.Done):
             if run.state is model.RunState.ORDERED:
@@ -54,17 +54,17 @@
             worker.avoid(now + ending.AVOID_S)
             self._release_run(run, now)
         else:
-            self._take_rejected_start(worker, run, order, outcome, now)
+            self._take_rejected_start(worker, run, command, outcome, now)
 
-    def _take_rejected_start(self, worker, run, order, outcome, now):
+    def _take_rejected_start(self, worker, run, command, outcome, now):
         if outcome.reason is messages.Rejection.TICKET:
             step = self._find_step(run.key)
             if step is not None:
                 step.tickets_by_worker.pop(worker.worker_id, None)
         else:
             if outcome.reason is messages.Rejection.REPLACED:
-                # It never began there, so it is not lost with what did.
+                # It never began there, so it is not lost with the runs that did.
                 self._release_run(run, now)
-            self._take_rejection(worker, order, outcome, now)
+            self._take_rejection(worker, command, outcome, now)
         if not self.is_fenced:
             self._release_run(run, now)
--- a/thornport/cell/decisions/progress.py
+++ b/thornport/cell/decisions/progress.py
@@ -1,11 +1,11 @@
-"""Between the owner's state of a job and the record of it in the store."""
+"""Conversion between the owner's state of a job and its record in the store."""
 
 from thornport.cell.decisions import messages, model
 from thornport.jobs import record
 
 
 def make_progress(job):
-    """Make the record of how far a job has come.
+    """Make the record of a job's progress.
 
     Args:
       job: A model.JobEntry.
@@ -26,12 +26,12 @@
 
 
 def is_closed(job):
-    """Tell whether nothing of a job is needed but its state.
+    """Tell whether only the state of a job is still needed.
 
     Args:
       job: A model.JobEntry.
     Returns:
-      A bool; false while runs of a job that was ended are to be stopped.
+      A bool; false while runs of a job that is over have yet to be stopped.
     """
     if job.state is record.JobState.SUCCEEDED:
         return True
@@ -40,7 +40,7 @@
 
 
 def has_begun(step):
-    """Tell whether there is anything to keep of a step."""
+    """Tell whether a step has anything to record."""
     return bool(step.is_done or step.last_run)
 
 
@@ -79,7 +79,7 @@
 
     Args:
       job: A model.JobEntry.
-      time, number: An int each.
+      time, number: Ints, which of the job's times and which of its steps.
     Returns:
       A model.StepState, added to the job.
     """
@@ -90,24 +90,24 @@
     return step
 
 
-def restore_step(job, kept):
+def restore_step(job, recorded):
     """Make the state of a step from its record.
 
     Args:
       job: A model.JobEntry.
-      kept: A record.StepProgress.
+      recorded: A record.StepProgress.
     Returns:
-      A list of the Runs of the step, UNHEARD; the step is added to the job.
+      A list of the live Runs of the step, all UNHEARD; the step is added to the job.
     """
-    step = make_step_state(job, kept.time, kept.step)
-    step.last_run = kept.last_run
-    step.is_done = step.is_advanced = kept.all_done
-    step.done = set(kept.done)
-    step.failures_by_index = dict(kept.failures)
-    step.checkpoints_by_index = dict(kept.checkpoints)
-    step.crash_points_by_index = dict(kept.crash_points)
-    for live in kept.live:
-        key = messages.TaskKey(job.job_id, kept.time, kept.step, live.index)
+    step = make_step_state(job, recorded.time, recorded.step)
+    step.last_run = recorded.last_run
+    step.is_done = step.is_advanced = recorded.all_done
+    step.done = set(recorded.done)
+    step.failures_by_index = dict(recorded.failures)
+    step.checkpoints_by_index = dict(recorded.checkpoints)
+    step.crash_points_by_index = dict(recorded.crash_points)
+    for live in recorded.live:
+        key = messages.TaskKey(job.job_id, recorded.time, recorded.step, live.index)
         step.live_by_index[live.index] = model.Run(
             key,
             live.run,
@@ -117,7 +117,7 @@
             address=live.address,
             worker_started_at_ms=live.worker_started_at_ms,
         )
-    if kept.all_done:
+    if recorded.all_done:
         step.waiting.clear()
     step.waiting -= step.done
     step.waiting -= step.live_by_index.keys()
