--- a/tests/advisedworld.py
+++ b/tests/advisedworld.py
@@ -397,7 +397,7 @@
             total = total.add(worker.total)
             for one in worker.active_by_key.values():
                 used = used.add(one.demand)
-        return used.share_of(total)
+        return used.compute_dominant_share(total)
 
 
 def end_all(present, kind):
--- a/thornport/cell/decisions/placing.py
+++ b/thornport/cell/decisions/placing.py
@@ -94,7 +94,9 @@
             if len(answering) < len(self.workers):
                 groups.append(answering)
             sums = (sum_room(workers) for workers in groups)
-            self._used_share = min(used.share_of(total) for total, used in sums)
+            self._used_share = min(
+                used.compute_dominant_share(total) for total, used in sums
+            )
         return self._used_share
 
     def sum_room(self):
--- a/thornport/cell/decisions/reserving.py
+++ b/thornport/cell/decisions/reserving.py
@@ -227,7 +227,7 @@
         return False
     if step.spec.gang and step.spec.count > 1:
         return True
-    return step.spec.demand.share_of(median_total) >= WIDE_SHARE
+    return step.spec.demand.compute_dominant_share(median_total) >= WIDE_SHARE
 
 
 def estimate_s(step_spec, worker):
--- a/thornport/cell/decisions/yielding.py
+++ b/thornport/cell/decisions/yielding.py
@@ -59,7 +59,7 @@
         top_priority = self._priority_by_service.get(queue.service, queue.priority)
         if job.has_begun or queue.priority <= top_priority:
             return False
-        spare_s = job.record.compute_spare_ms() / clock.MS_PER_S
+        spare_s = job.record.compute_slack_ms() / clock.MS_PER_S
         yield_s = min(MAX_YIELD_S, YIELD_SHARE * spare_s)
         return self._now - job.arrived_at < yield_s
 
--- a/thornport/cell/peers/telling.py
+++ b/thornport/cell/peers/telling.py
@@ -17,7 +17,7 @@
 FINAL_STATES = frozenset(state.value for state in record.FINAL_STATES)
 
 
-class PeerTelling(intake.Telling):
+class PeerTelling(intake.Notifier):
     """Tells the owner, which may be this process, and the peers."""
 
     def __init__(self, reactor, daemon):
@@ -30,7 +30,7 @@
         self._reactor = reactor
         self._daemon = daemon
 
-    def tell_unresolved(self, job_id):
+    def notify_unresolved(self, job_id):
         """Tell all peers of a job that may be kept, so that none refuses it.
 
         Args:
@@ -39,7 +39,7 @@
         addresses = self._daemon.peers.addresses
         self._daemon.bus.send_to_all(addresses, peering.Unresolved(job_id))
 
-    def tell_incoming(self, value):
+    def notify_incoming(self, value):
         """Tell the owner of a job that is being kept.
 
         Args:
@@ -50,7 +50,7 @@
         else:
             self._send_to_owner(peering.Incoming(value))
 
-    def tell_kept(self, job_id, is_cancel=False):
+    def notify_persisted(self, job_id, is_cancel=False):
         """Tell the owner that a job, or its cancel, is kept.
 
         Args:
--- a/thornport/jobs/intake.py
+++ b/thornport/jobs/intake.py
@@ -57,16 +57,16 @@
     """Another workspace has a job of this ID; what was handed in never runs."""
 
 
-class Telling:
+class Notifier:
     """Tells the other processes of what is being kept."""
 
-    def tell_incoming(self, value):
+    def notify_incoming(self, value):
         """Tell the owner that a job is being kept; bytes of its record."""
 
-    def tell_kept(self, job_id, is_cancel=False):
+    def notify_persisted(self, job_id, is_cancel=False):
         """Tell the owner that a job, or its cancel, is kept."""
 
-    def tell_unresolved(self, job_id):
+    def notify_unresolved(self, job_id):
         """Tell all that a job may be kept, and its caller was told neither."""
 
 
@@ -98,7 +98,7 @@
           reactor: Twisted's reactor.
           store: A relaying.RelayedStore.
           metrics: A metrics.Metrics.
-          tell: A Telling, to tell the other processes.
+          tell: A Notifier, to tell the other processes.
         """
         self._reactor = reactor
         self._store = store
@@ -138,7 +138,7 @@
             self._settle(pending, self._refuse("the store is away"), "refused")
             return pending.outcome
         pending.value = record.encode_record(kept)
-        self._tell.tell_incoming(pending.value)
+        self._tell.notify_incoming(pending.value)
         if not self._gathered:
             self._reactor.callLater(GATHER_S, self._flush)
         self._gathered.append(pending)
@@ -154,7 +154,7 @@
           An Unknown; no process refuses the job from now on.
         """
         self.note_unresolved(job_id)
-        self._tell.tell_unresolved(job_id)
+        self._tell.notify_unresolved(job_id)
         return Unknown(reason, self._choose_retry_s())
 
     def _refuse(self, reason):
@@ -242,7 +242,7 @@
             retry_s=getattr(outcome, "retry_s", ""),
         )
         if isinstance(outcome, Accepted):
-            self._tell.tell_kept(kept.job_id)
+            self._tell.notify_persisted(kept.job_id)
         pending.outcome.callback(outcome)
 
     async def cancel(self, job_id, caller, deadline):
@@ -259,7 +259,7 @@
         while True:
             outcome = await self._try_cancel(job_id, caller)
             if isinstance(outcome, Accepted):
-                self._tell.tell_kept(job_id, is_cancel=True)
+                self._tell.notify_persisted(job_id, is_cancel=True)
             if not isinstance(outcome, port.StoreError):
                 logs.log(
                     "job-cancelled",
--- a/thornport/jobs/intake_test.py
+++ b/thornport/jobs/intake_test.py
@@ -47,7 +47,7 @@
         patched.start()
         self.addCleanup(patched.stop)
         self.store = FakeStore()
-        self.telling = mock.Mock(spec=intake.Telling)
+        self.telling = mock.Mock(spec=intake.Notifier)
         self.intake = intake.Intake(
             self.clock, self.store, metrics.Metrics(), self.telling
         )
@@ -107,7 +107,7 @@
     def test_kept_job_is_accepted_and_told_of(self):
         self.store.outcomes = [result.Success(7)]
         self.assertIsInstance(self.submit()[0], intake.Accepted)
-        self.telling.tell_kept.assert_called_once_with("a")
+        self.telling.notify_persisted.assert_called_once_with("a")
 
     def test_job_that_is_there_is_accepted_again(self):
         item = transactions.Item(record.JOB_PREFIX + "a", b"", 3)
@@ -135,7 +135,7 @@
         # The same ID again, also while the store is away.
         self.store.away = True
         self.assertIsInstance(self.submit()[0], intake.Unknown)
-        self.telling.tell_unresolved.assert_called_with("a")
+        self.telling.notify_unresolved.assert_called_with("a")
 
     def test_open_write_of_a_peer_is_not_refused_here(self):
         self.store.away = True
--- a/thornport/jobs/record.py
+++ b/thornport/jobs/record.py
@@ -64,12 +64,12 @@
 
     def compute_objective_ms(self):
         """Compute within what time the job is in time, by its own estimates; an int."""
-        chain_ms = spec.compute_chain_ms(self.job)
+        chain_ms = spec.compute_critical_path_ms(self.job)
         return int(self.queue.target_ms + self.queue.stretch * chain_ms)
 
-    def compute_spare_ms(self):
+    def compute_slack_ms(self):
         """Compute how long it may wait in all and be in time, likewise; an int."""
-        chain_ms = spec.compute_chain_ms(self.job)
+        chain_ms = spec.compute_critical_path_ms(self.job)
         return max(0, self.compute_objective_ms() - chain_ms)
 
 
--- a/thornport/jobs/spec.py
+++ b/thornport/jobs/spec.py
@@ -45,7 +45,7 @@
             min(self.accelerators, other.accelerators),
         )
 
-    def share_of(self, total):
+    def compute_dominant_share(self, total):
         """Say what share of a whole this is, a float, by the resource it has least of.
 
         Args:
@@ -152,7 +152,7 @@
     interval_ms: int = 0
 
 
-def compute_chain_ms(job):
+def compute_critical_path_ms(job):
     """Compute the longest chain of steps that wait for one another.
 
     Args:
