--- a/thornport/cell/decisions/ending.py
+++ b/thornport/cell/decisions/ending.py
@@ -203,7 +203,7 @@
         if run.state in (model.RunState.STOPPING, model.RunState.OVER):
             return
         if run.state is model.RunState.RECORDING:
-            # No start was sent, and none will be: the run leaves RECORDING here.
+            # No start was sent, and none will be: only RECORDING runs are started.
             self._release_run(run, now)
             return
         worker = self.workers_by_id.get(run.worker_id)
--- a/thornport/cell/decisions/incarnations.py
+++ b/thornport/cell/decisions/incarnations.py
@@ -139,7 +139,7 @@
             later.add_run(run)
         for run in runs:
             if run.state is model.RunState.RECORDING:
-                # No start was sent, and none will be: the run leaves RECORDING here.
+                # No start was sent, and none will be: only RECORDING runs are started.
                 self._release_run(run, now)
 
     def _confirm_incarnation(self, worker, started_at_ms, now):
