--- a/thornport/cell/owner/succession.py
+++ b/thornport/cell/owner/succession.py
@@ -134,7 +134,7 @@
 
 def is_started_lately(caller, now):
     """Return whether a process, an advising.Caller, was started lately."""
-    return now - caller.started_at < candidacy.STARTED_LATELY_S
+    return now - caller.started_at < candidacy.RECENT_START_S
 
 
 def has_comparable_cores(caller, most_cores):
--- a/thornport/cell/peers/__init__.py
+++ b/thornport/cell/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What the processes of a cell tell and ask one another."""
+"""Messages between the processes of a cell and their handling."""
--- a/thornport/cell/peers/asking.py
+++ b/thornport/cell/peers/asking.py
@@ -1,22 +1,22 @@
-"""Asking the owner of the cell over the bus."""
+"""Questions to the owner of the cell over the bus."""
 
 from thornport.cell.peers import peering, questions
 from thornport.jobs import workspace
 
-ANSWER_S = 0.25  # wait for the owner's answer; the store is read after it
+ANSWER_TIMEOUT_S = 0.25  # for the owner's answer; the store is read after it
 
 
 class Asker:
-    """Sends the questions of callers to the owner."""
+    """Forwards the questions of callers to the owner."""
 
     def __init__(self, reactor, bus):
-        """Take the bus.
+        """Set up without open questions.
 
         Args:
           reactor: Twisted's reactor.
           bus: A bus.Bus.
         """
-        self._questions = questions.Questions(reactor, bus, ANSWER_S)
+        self._questions = questions.Questions(reactor, bus, ANSWER_TIMEOUT_S)
 
     async def ask_state(self, address, job_id, caller=workspace.OPERATOR):
         """Ask for the state of a job.
@@ -24,10 +24,10 @@
         Args:
           address: A str, the owner's; empty when there is none.
           job_id: A str.
-          caller: The workspace.Caller for whom it is asked.
+          caller: The workspace.Caller on whose behalf the state is requested.
         Returns:
-          A str, empty if the owner knows none that the caller may see, or does not
-          answer.
+          A str, empty if the owner knows no such job that the caller may see, or does
+          not answer.
         """
 
         def make_question(ask_id):
@@ -37,7 +37,7 @@
         return answer.state if answer is not None else ""
 
     async def ask_waiting(self, address, queue_name):
-        """Ask how many jobs of a queue have not begun.
+        """Ask how many jobs of a queue have not started.
 
         Args:
           address: A str, the owner's; empty when there is none.
@@ -58,7 +58,7 @@
         return await self._questions.ask(address, make_question)
 
     def take_answer(self, message):
-        """Take an answer; one that came too late is dropped.
+        """Take an answer; a late answer is dropped.
 
         Args:
           message: A peering.StateIs or WaitingIs.
--- a/thornport/cell/peers/candidacy.py
+++ b/thornport/cell/peers/candidacy.py
@@ -1,9 +1,8 @@
-"""Which process claims a cell, and how long it waits before it does.
+"""Delays before processes claim a cell, so that the preferred one claims first.
 
-The owner of a large cell needs the processor of a large VM, so smaller ones wait
-a little. An owner that was heard a moment ago, or is known since a moment ago, is alive
-and gets a key back that ran out, without anything to be read anew, so it is given the
-first try.
+The owner of a large cell needs the processor of a large VM, so processes on smaller
+VMs wait a little. An owner that was heard or discovered a moment ago is presumed alive
+and gets the first attempt: it regains an expired key without rereading any records.
 """
 
 import math
@@ -12,31 +11,31 @@
 
 from thornport.cell.decisions import advising
 
-CLAIM_SPREAD_S = 0.02  # so that not all processes claim in the same instant
-# How much later the smallest VMs claim: processes learn that the key is free within
-# a try of their watch, so that a larger one is first in most cases.
+CLAIM_SPREAD_S = 0.02  # keeps processes from claiming at the same instant
+# Additional delay of the smallest VMs: processes learn that the key is free within one
+# attempt of their watch, so a larger VM is first in most cases.
 SMALL_WAIT_S = 0.3
-# At which a VM waits for nobody while no owner has told of others (a whole cell
-# that starts): what the owner of a large cell needs.
+# A VM of this size waits for no larger one while no owner has reported VM sizes, as
+# when a whole cell starts: it is what the owner of a large cell needs.
 LARGE_CORES = 1.0
 ALIVE_PERIOD_S = 0.1  # between heartbeats of an owner to its peers
-# Three heartbeats missed; the key of an owner that was killed goes later.
+# Three missed heartbeats; the key of a killed owner expires later than that.
 OWNER_ALIVE_S = 0.35
-# An owner whose timers fire late is heard less often, and is not replaced for being
-# busy by one that would be busier: each of some heartbeats may be so late. Its key goes
-# after a second in any case.
-LAG_TIMES = 3.0
-MAX_BUSY_S = 0.6
-SHARES = 1000  # steps of the spread
-REGAIN_WAIT_S = 0.15  # several tries of an owner that the store answers
-# While processes are stopped one after the other, one that was started longer ago than
-# this may be the next and claims later; one that just came back stays.
-STARTED_LATELY_S = 10.0
-SERIES_WAIT_S = 0.1  # how much later; more than the spread, and less than a lease
+# An owner whose timers fire late is heard less often; being busy is no reason to
+# replace it by a process that would be busier. Several heartbeats may each be late by
+# the lag. Its key expires after one second in any case.
+LAG_FACTOR = 3.0
+MAX_LAG_ALLOWANCE_S = 0.6
+SPREAD_STEPS = 1000
+REGAIN_WAIT_S = 0.15  # several attempts of an owner that the store answers
+# During a rolling stop, a process that started longer ago than this may be stopped
+# next and claims later; one that has just restarted stays.
+RECENT_START_S = 10.0
+ROLLING_STOP_WAIT_S = 0.1  # more than CLAIM_SPREAD_S, less than a lease
 
 
 class Candidacy:
-    """What a process knows for its next claim."""
+    """Computes the delay before the next claim of a process."""
 
     __slots__ = (
         "_cores",
@@ -50,24 +49,26 @@
     )
 
     def __init__(self, name, cores, started_at=-math.inf):
-        """Begin.
+        """Begin without a known owner.
 
         Args:
-          name: A str, of the process; it spreads the claims.
-          cores: A float, how much processor the VM has.
+          name: A str, of the process; its hash spreads the claims.
+          cores: A float, the processor cores of the VM.
           started_at: A float, when the process was started.
         """
         self._cores = cores
         self._started_at = started_at
         self._stop_heard_at = -math.inf
         self._largest_cores = LARGE_CORES
-        self._share = xxhash.xxh3_64_intdigest(name.encode()) % SHARES / SHARES
+        self._share = (
+            xxhash.xxh3_64_intdigest(name.encode()) % SPREAD_STEPS / SPREAD_STEPS
+        )
         self._new_owner_at = -math.inf
         self._heard_at = None
         self._lag_s = 0.0
 
     def take_largest(self, largest_cores):
-        """Take how much processor the largest VM has.
+        """Set the processor cores of the largest VM.
 
         Args:
           largest_cores: A float; 0 if it is not known.
@@ -76,10 +77,10 @@
             self._largest_cores = largest_cores
 
     def note_new_owner(self, now):
-        """Take that another process owns the cell than before.
+        """Note that the owner of the cell has changed.
 
-        It has not been heard yet: that takes a greeting, which is lost while the
-        connections are made, or its next heartbeat.
+        The new owner has not been heard yet: that takes the answer to a greeting, which
+        is lost while connections are being made, or the owner's next heartbeat.
 
         Args:
           now: A float.
@@ -88,17 +89,17 @@
         self._new_owner_at = now
 
     def hear_owner(self, now, lag_s=0.0):
-        """Take that the owner lives.
+        """Note a message that shows the owner is alive.
 
         Args:
           now: A float.
-          lag_s: A float, how late its timers fire.
+          lag_s: A float, how late the owner's timers fire.
         """
         self._heard_at = now
         self._lag_s = lag_s
 
     def hear_stop(self, now):
-        """Take that a process of the cell was told to stop.
+        """Note that a process of the cell was asked to stop.
 
         Args:
           now: A float.
@@ -106,48 +107,48 @@
         self._stop_heard_at = now
 
     def forget_owner(self):
-        """Take that the owner hands the cell over."""
+        """Forget the owner, as it hands the cell over or is replaced."""
         self._heard_at = None
         self._new_owner_at = -math.inf
 
     def is_owner_alive(self, now):
-        """Whether the owner was heard a moment ago."""
-        alive_s = OWNER_ALIVE_S + min(MAX_BUSY_S, LAG_TIMES * self._lag_s)
+        """Whether the owner was heard within the time allowed for its lag."""
+        alive_s = OWNER_ALIVE_S + min(MAX_LAG_ALLOWANCE_S, LAG_FACTOR * self._lag_s)
         return self._heard_at is not None and now - self._heard_at < alive_s
 
     def is_owner_silent(self, now):
-        """Whether the owner was heard before, and is not any more."""
+        """Whether the owner was heard before but is not any more."""
         return self._heard_at is not None and not self.is_owner_alive(now)
 
     def compute_claim_delay_s(self, now):
-        """Say how much later than the first this process claims.
+        """Compute how much later than the preferred process this one claims.
 
         Args:
           now: A float.
         Returns:
           A float, seconds.
         """
-        lack = max(0.0, 1.0 - self._cores / self._largest_cores)
-        delay_s = self._share * CLAIM_SPREAD_S + lack * SMALL_WAIT_S
-        is_series = now - self._stop_heard_at < advising.CHANGE_WINDOW_S
-        if is_series and now - self._started_at > STARTED_LATELY_S:
-            delay_s += SERIES_WAIT_S
+        shortfall = max(0.0, 1.0 - self._cores / self._largest_cores)
+        delay_s = self._share * CLAIM_SPREAD_S + shortfall * SMALL_WAIT_S
+        is_rolling_stop = now - self._stop_heard_at < advising.CHANGE_WINDOW_S
+        if is_rolling_stop and now - self._started_at > RECENT_START_S:
+            delay_s += ROLLING_STOP_WAIT_S
         return delay_s
 
     def compute_wait_s(self, now, is_offered):
-        """Say how long to wait before a claim.
+        """Compute the wait before a claim.
 
         Args:
           now: A float.
-          is_offered: A bool, whether the owner chose this process, or the peers agree
-            on it after its turn.
+          is_offered: A bool, whether the owner offered the cell to this process, or the
+            peers agreed that the owner is silent, when the delay has passed already.
         Returns:
           A float, seconds.
         """
         if is_offered:
             return 0.0
         wait_s = self.compute_claim_delay_s(now)
-        is_new_lately = now - self._new_owner_at < OWNER_ALIVE_S
-        if is_new_lately or self.is_owner_alive(now):
+        is_owner_new = now - self._new_owner_at < OWNER_ALIVE_S
+        if is_owner_new or self.is_owner_alive(now):
             wait_s += REGAIN_WAIT_S
         return wait_s
--- a/thornport/cell/peers/candidacy_test.py
+++ b/thornport/cell/peers/candidacy_test.py
@@ -74,7 +74,7 @@
         self.assertTrue(self.large.is_owner_alive(10.6))
         self.assertTrue(self.large.is_owner_silent(10.7))
         self.large.hear_owner(10.0, lag_s=5.0)
-        longest_s = candidacy.OWNER_ALIVE_S + candidacy.MAX_BUSY_S
+        longest_s = candidacy.OWNER_ALIVE_S + candidacy.MAX_LAG_ALLOWANCE_S
         self.assertTrue(self.large.is_owner_silent(10.0 + longest_s + 0.01))
 
     def test_process_that_was_offered_the_cell_does_not_wait_for_its_turn(self):
--- a/thornport/cell/peers/greeting.py
+++ b/thornport/cell/peers/greeting.py
@@ -1,33 +1,35 @@
 """Greetings to the owner of the cell.
 
-An owner knows of a process only what that tells it: that it lives, whether the store
-answers it and whether it stops. From the greetings the owner picks whom it calls for
-advice, and to whom it offers the cell; its answers list the peers.
+An owner knows of a process only what its greetings report: that it is alive, whether
+the store answers it and whether it is stopping. From the greetings the owner chooses
+the processes that call for advice and those it offers the cell to; its answers list the
+peers.
 """
 
 from thornport.cell.peers import peering
 from thornport.kernel import clock, tasks
 
-HELLO_PERIOD_S = 0.5  # greetings to the owner; see advising.SILENCE_S
-# So many greetings apart the lists of peers are asked for though they seem to be known:
-# a peer that failed once was taken off ours, and an owner may be another than it seems.
+HELLO_PERIOD_S = 0.5  # see advising.SILENCE_S
+# Every this many greetings the lists of peers are requested even if they seem to be
+# known: a peer that failed once was removed from this process's list, and the owner may
+# not be the one it seems to be.
 ASK_LISTS_EVERY = 4
-# Between greetings to a new owner until it answers: the first are lost while the
-# connections to it and from it are made, and an owner without greetings has nobody to
-# call for advice.
-GREET_AGAIN_S = (0.01, 0.02, 0.04, 0.08, 0.16)
+# Delays between greetings to a new owner until it answers. The first greetings are lost
+# while the connections in both directions are being made, and an owner without
+# greetings has no process to call for advice.
+GREET_RETRY_DELAYS_S = (0.01, 0.02, 0.04, 0.08, 0.16)
 
 
 class Greeting:
-    """Greets whoever owns the cell."""
+    """Sends greetings to the owner of the cell."""
 
     def __init__(self, reactor, daemon, cores, started_at):
-        """Take what is told; nothing is sent yet.
+        """Set up without sending anything yet.
 
         Args:
           reactor: Twisted's reactor.
           daemon: The daemon.SchedulerDaemon, which knows the owner and the store.
-          cores: A float, how much processor this VM has.
+          cores: A float, the processor cores of this VM.
           started_at: A float, when this process was started.
         """
         self._reactor = reactor
@@ -35,16 +37,16 @@
         self._cores = cores
         self._started_at = started_at
         self._greetings = 0
-        # Of the owner that answered last, and of its lists of peers; 0 for none known.
+        # The owner that answered last, and the version of its lists; 0 if not known.
         self._answered_address = ""
         self._known_lists = 0
 
     def start(self):
-        """Begin to greet."""
+        """Start greeting periodically."""
         tasks.call_periodically(self._reactor, HELLO_PERIOD_S, self.greet, "greet")
 
     def greet(self):
-        """Greet the owner; nothing is sent while there is none."""
+        """Greet the owner, if there is one."""
         address = self._daemon.owner_address
         if address is None:
             return
@@ -65,7 +67,7 @@
         self._daemon.bus.send(address, "", hello)
 
     def take_lists(self, address, version):
-        """Take that an owner has answered with its lists of peers.
+        """Note that an owner has answered with its lists of peers.
 
         Args:
           address: A str, the owner's.
@@ -75,7 +77,7 @@
         self._known_lists = version
 
     def greet_new_owner(self, owner):
-        """Greet a new owner until it has answered.
+        """Greet a new owner until it answers, is replaced or the retries are used up.
 
         Args:
           owner: An ownership.Owner.
@@ -85,7 +87,7 @@
         tasks.spawn(self._greet_new(owner), "greet-new-owner")
 
     async def _greet_new(self, owner):
-        for wait_s in GREET_AGAIN_S:
+        for wait_s in GREET_RETRY_DELAYS_S:
             self.greet()
             await tasks.sleep(self._reactor, wait_s)
             is_current = self._daemon.holding.owner == owner
--- a/thornport/cell/peers/greeting_test.py
+++ b/thornport/cell/peers/greeting_test.py
@@ -76,22 +76,22 @@
         self.greeting.greet_new_owner(SUCCESSOR)
         ((address, hello),) = self.read_sent()
         self.assertEqual((address, hello.knows_version), (SUCCESSOR.address, 0))
-        self.clock.advance(greeting.GREET_AGAIN_S[0])
+        self.clock.advance(greeting.GREET_RETRY_DELAYS_S[0])
         self.assertEqual(len(self.read_sent()), 1)
         self.greeting.take_lists(SUCCESSOR.address, LISTS)
-        self.clock.pump(greeting.GREET_AGAIN_S)
+        self.clock.pump(greeting.GREET_RETRY_DELAYS_S)
         self.assertEqual(self.read_sent(), [])
 
     def test_silent_owner_is_greeted_again_only_so_often(self):
         self.greeting.greet_new_owner(OWNER)
-        self.clock.pump([*greeting.GREET_AGAIN_S, 1.0])
-        self.assertEqual(len(self.read_sent()), len(greeting.GREET_AGAIN_S))
+        self.clock.pump([*greeting.GREET_RETRY_DELAYS_S, 1.0])
+        self.assertEqual(len(self.read_sent()), len(greeting.GREET_RETRY_DELAYS_S))
 
     def test_owner_that_was_replaced_meanwhile_is_let_be(self):
         self.greeting.greet_new_owner(OWNER)
         self.set_owner(SUCCESSOR)
         self.read_sent()
-        self.clock.pump(greeting.GREET_AGAIN_S)
+        self.clock.pump(greeting.GREET_RETRY_DELAYS_S)
         self.assertEqual(self.read_sent(), [])
 
 
--- a/thornport/cell/peers/lapses.py
+++ b/thornport/cell/peers/lapses.py
@@ -1,7 +1,7 @@
-"""What an owner that has ceased tells its successor of the leases it granted.
+"""Reports from an owner that has stopped deciding about the leases it granted.
 
-A successor that knows nothing of them waits for the longest lease anew wherever a
-worker is silent, and so does the next one.
+Without such a report a successor waits for the longest lease again at each silent
+worker, and so does the next successor.
 """
 
 import math
@@ -13,11 +13,11 @@
 
 
 class Lapses(msgspec.Struct, frozen=True):
-    """When all that may run at silent workers is over, as an owner knew it.
+    """When all leased runs at silent workers are over, as known to one owner.
 
     Attributes:
-      token: An int, that owner's last.
-      over_at_by_id: Floats, on the clock of this process, by worker id.
+      token: An int, the last token of that owner.
+      over_at_by_id: Floats, on the clock of this process, by worker ID.
     """
 
     token: int
@@ -28,18 +28,20 @@
 
 
 def note(core):
-    """Note what an owner knows that gives no orders from now on.
+    """Record what an owner knows of its leases as it stops sending commands.
 
     Args:
-      core: Its core.CellCore.
+      core: The owner's core.CellCore.
     Returns:
       A Lapses.
     """
     return Lapses(core.token, core.list_lapses())
 
 
-def tell(lapses, token, now):
-    """Make the answer to a successor; clocks of VMs differ, so it tells what is left.
+def make_answer(lapses, token, now):
+    """Make the answer to a successor.
+
+    The answer holds remaining durations, as the clocks of VMs differ.
 
     Args:
       lapses: The Lapses of the last ownership of this process.
@@ -55,8 +57,10 @@
     return peering.Ceased(token, lapses.token, left_ms_by_worker)
 
 
-def read(message, now):
-    """Read such an answer: on its way it only grows too long.
+def read_answer(message, now):
+    """Convert a former owner's answer to this process's clock.
+
+    The time in transit is not deducted, so it can only make the waits too long.
 
     Args:
       message: A peering.Ceased.
@@ -72,15 +76,15 @@
 
 
 def is_from_last_owner(lapses, address, last):
-    """Whether an owner's word holds for all leases granted before a successor.
+    """Whether a report covers all leases granted before a successor's.
 
-    An owner waits out those before it, so the last one's word is enough, whether or not
-    the others answer. One that only began to read after the last one wrote tells the
-    longest wait.
+    An owner waits for the leases of those before it, so the report of the last owner
+    suffices, whether or not the others answer. An owner that only began reading records
+    after the last one wrote reports the longest wait.
 
     Args:
       lapses: A Lapses.
-      address: A str, of the process that tells it.
+      address: A str, of the process that reports it.
       last: The lanes.Head of the last owner that wrote; None if there was none.
     Returns:
       A bool.
--- a/thornport/cell/peers/lapses_test.py
+++ b/thornport/cell/peers/lapses_test.py
@@ -14,13 +14,13 @@
 
     def test_what_is_left_is_told(self):
         known = lapses.Lapses(7, {"w0": 104.0, "w1": 90.0})
-        message = lapses.tell(known, 9, 100.0)
+        message = lapses.make_answer(known, 9, 100.0)
         self.assertEqual(message, peering.Ceased(9, 7, {"w0": 4000, "w1": 0}))
-        read = lapses.read(message, 5000.0)
+        read = lapses.read_answer(message, 5000.0)
         self.assertEqual(read, lapses.Lapses(7, {"w0": 5004.0, "w1": 5000.0}))
 
     def test_process_of_an_earlier_version_tells_nothing(self):
-        read = lapses.read(peering.Ceased(9), 5000.0)
+        read = lapses.read_answer(peering.Ceased(9), 5000.0)
         self.assertEqual(read, lapses.NONE)
         self.assertFalse(lapses.is_from_last_owner(read, LAST.address, LAST))
 
--- a/thornport/cell/peers/liveness.py
+++ b/thornport/cell/peers/liveness.py
@@ -1,7 +1,7 @@
-"""Whether the owner of the cell lives, by its heartbeats.
+"""Heartbeats of the owner of the cell, and the detection of its failure.
 
-An owner tells its peers again and again that it lives. A peer that does not hear
-it any more asks the others, and takes the cell over when most of them agree.
+An owner sends its peers periodic heartbeats. A peer that no longer hears them asks the
+others, and takes the cell over when most of those asked agree.
 """
 
 import random
@@ -9,14 +9,14 @@
 from thornport.cell.peers import candidacy, peering, silencevote
 from thornport.kernel import clock, logs, tasks
 
-CHECK_PERIOD_S = 0.05  # between looks at what was heard; well below a heartbeat
+CHECK_PERIOD_S = 0.05  # well below the heartbeat period
 
 
 class Liveness:
-    """Follows the heartbeats of the owner, or sends them."""
+    """Sends heartbeats as the owner, or monitors those of the owner."""
 
     def __init__(self, reactor, bus, daemon):
-        """Take what is needed; nothing is sent yet.
+        """Set up without sending anything yet.
 
         Args:
           reactor: Twisted's reactor.
@@ -33,19 +33,19 @@
         self._random = random.Random()
 
     def start(self):
-        """Begin to send and to follow heartbeats."""
+        """Start sending and monitoring heartbeats."""
         tasks.call_periodically(
-            self._reactor, candidacy.ALIVE_PERIOD_S, self._tell_alive, "tell-alive"
+            self._reactor, candidacy.ALIVE_PERIOD_S, self._send_heartbeats, "tell-alive"
         )
         tasks.call_periodically(
             self._reactor, CHECK_PERIOD_S, self._check, "check-owner"
         )
 
     def take_owner(self, address, revision):
-        """Take who owns the cell now.
+        """Set the current owner of the cell.
 
         Args:
-          address: A str, empty when nobody does.
+          address: A str, empty when the cell has no owner.
           revision: An int, of the owner's key.
         """
         if (address, revision) == (self._owner_address, self._revision):
@@ -56,22 +56,22 @@
         self._vote = None
 
     def hear(self, address, lag_s=0.0):
-        """Take a sign of life of a process.
+        """Record a sign of life of a process, which counts if it is the owner.
 
         Args:
-          address: A str, where it takes messages.
+          address: A str, where the process receives messages.
           lag_s: A float, how late its timers fire.
         """
         if address == self._owner_address:
             self._candidacy.hear_owner(clock.read_monotonic(), lag_s)
             self._vote = None
 
-    def _tell_alive(self):
+    def _send_heartbeats(self):
         session = self._daemon.session
         if session is None:
             return
-        # Who greeted us is in our own list only after our own next greeting, too late
-        # for one that heard us once.
+        # A process that has greeted this one enters this one's own peer list only after
+        # this one's next greeting: too late for a process that has heard one heartbeat.
         greeted = session.core.callers.list_peers(clock.read_monotonic())
         addresses = self._daemon.peers.addresses.union(
             greeted.with_store, greeted.others, greeted.stopping
@@ -87,7 +87,7 @@
             return
         if self._vote is None:
             known = self._daemon.peers
-            # A process that stops may end before it answers.
+            # A stopping process may end before it answers.
             peers = known.addresses - known.stopping - {self._owner_address}
             peers = silencevote.choose_voters(peers, self._random)
             ask_at = now + self._candidacy.compute_claim_delay_s(now)
@@ -98,7 +98,7 @@
             self._bus.send_to_all(self._vote.peer_addresses, question)
 
     def answer(self, message, address):
-        """Tell a peer whether the owner is heard here.
+        """Tell a peer whether this process hears the owner.
 
         Args:
           message: A peering.AskOwnerHeard.
@@ -113,7 +113,7 @@
         self._bus.send(address, "", heard)
 
     def take_answer(self, message, address):
-        """Take what a peer hears; most of them may decide.
+        """Count a peer's answer, and take the cell over once the vote is agreed.
 
         Args:
           message: A peering.OwnerHeard.
--- a/thornport/cell/peers/peering.py
+++ b/thornport/cell/peers/peering.py
@@ -9,15 +9,16 @@
 
 
 class Hello(codec.Message, frozen=True):
-    """To the owner, again and again: this process can call for advice.
+    """To the owner, periodically: the sender can call for advice.
 
     Attributes:
-      has_store: Whether the store answers it, and did within the last second.
-      cores: How much processor its VM has.
-      is_stopping: Whether it was told to stop.
-      up_s: How long ago it was started.
-      hall: Its data hall.
-      knows_version: Of the lists that it has from this owner; 0 to be told them.
+      has_store: Whether the store has answered the sender within the last second.
+      cores: The processor cores of the sender's VM.
+      is_stopping: Whether the sender was asked to stop.
+      up_s: Seconds since the sender was started.
+      hall: The sender's data hall.
+      knows_version: The version of the lists that the sender has from this owner; 0
+        requests the lists.
     """
 
     name: str
@@ -33,11 +34,11 @@
     """From the owner: addresses of other processes.
 
     Attributes:
-      with_store: Those that the store answers.
-      others: Those that it does not answer.
-      largest_cores: The most processor that a VM among them has.
-      stopping: Those that were told to stop; they are in neither list.
-      version: Rises with each change; whoever has it already is sent Alive instead.
+      with_store: The processes that the store answers.
+      others: The processes that the store does not answer.
+      largest_cores: The processor cores of the largest VM among them.
+      stopping: The processes that were asked to stop; they are in neither list above.
+      version: Rises with each change; a process that has this version is sent Alive.
     """
 
     with_store: tuple[str, ...]
@@ -48,30 +49,30 @@
 
 
 class Alive(codec.Message, frozen=True):
-    """From an owner to all peers, again and again.
+    """The owner's heartbeat, sent periodically to all peers.
 
     Attributes:
-      lag_s: How late its timers fire: a busy owner is heard less often.
+      lag_s: How late the owner's timers fire; a busy owner is heard less often.
     """
 
     lag_s: float = 0.0
 
 
 class AskOwnerHeard(codec.Message, frozen=True):
-    """To all peers: do you hear the owner?
+    """To peers: asks whether they hear the owner.
 
     Attributes:
-      revision: Of its key.
+      revision: The revision of the owner's key.
     """
 
     revision: int
 
 
 class OwnerHeard(codec.Message, frozen=True):
-    """The answer.
+    """The answer to AskOwnerHeard.
 
     Attributes:
-      is_silent: Whether it was heard before, and is not any more.
+      is_silent: Whether the owner was heard before but is not any more.
     """
 
     revision: int
@@ -79,37 +80,37 @@
 
 
 class Leaving(codec.Message, frozen=True):
-    """From an owner that stops: it will not get its key back."""
+    """From an owner that stops: it will not regain its key."""
 
 
 class Incoming(codec.Message, frozen=True):
-    """To the owner: a job that is being kept, to see to its advice meanwhile.
+    """To the owner: a job that is being persisted, so that it can get advice meanwhile.
 
     Attributes:
-      record: The record.JobRecord as it is kept.
+      record: The encoded record.JobRecord, as it is persisted.
     """
 
     record: bytes
 
 
 class Kept(codec.Message, frozen=True):
-    """To the owner: a job, or the cancel of one, is in the store."""
+    """To the owner: a job, or the cancellation of one, is in the store."""
 
     job_id: str
     is_cancel: bool = False
 
 
 class Unresolved(codec.Message, frozen=True):
-    """To all peers: this job may be kept, and its caller was told neither."""
+    """To all peers: this job may be persisted; its caller has no definite answer."""
 
     job_id: str
 
 
 class Offer(codec.Message, frozen=True):
-    """From an owner: become the owner.
+    """From an owner: offers the cell to the receiver.
 
     Attributes:
-      token: The revision of the owner's key, to be overwritten.
+      token: The revision of the owner's key, which the receiver is to overwrite.
     """
 
     token: int
@@ -119,7 +120,7 @@
     """The answer to Offer.
 
     Attributes:
-      is_taken: Whether the process tries to get the key; false also after a try
+      is_taken: Whether the sender tries to get the key; also false after an attempt
         that the store did not answer.
     """
 
@@ -128,23 +129,23 @@
 
 
 class AskCeased(codec.Message, frozen=True):
-    """To an earlier owner: does it give orders yet?
+    """To an earlier owner: asks whether it still sends commands.
 
     Attributes:
-      token: The token of the owner that asks.
+      token: The fencing token of the asking owner.
     """
 
     token: int
 
 
 class Ceased(codec.Message, frozen=True):
-    """The answer: it gives none under a lower token, and never will.
+    """The answer to AskCeased: the sender sends no more commands under a lower token.
 
     Attributes:
-      decided_token: The token of the last ownership of the process; 0 if it knows of
-        none.
-      left_ms_by_worker: In how long all that may run at workers is over which were
-        silent when that ended, by their ids.
+      token: The token from the question.
+      decided_token: The token of the sender's last ownership; 0 if it knows of none.
+      left_ms_by_worker: For each worker that was silent when that ownership ended, by
+        worker ID, the time until all that may run there is over.
     """
 
     token: int
@@ -153,14 +154,14 @@
 
 
 class RelayRead(codec.Message, frozen=True):
-    """To a peer: read a key of the store."""
+    """To a peer: requests a read of a key of the store."""
 
     ask_id: int
     key: str
 
 
 class RelayNewest(codec.Message, frozen=True):
-    """To a peer: read a key of the store if it has changed since a revision."""
+    """To a peer: requests a read of a key if it has changed since a revision."""
 
     ask_id: int
     key: str
@@ -168,17 +169,17 @@
 
 
 class RelayCommit(codec.Message, frozen=True):
-    """To a peer: apply a transaction."""
+    """To a peer: requests that a transaction be applied to the store."""
 
     ask_id: int
     transaction: transactions.Transaction
 
 
 class RelayedComing(codec.Message, frozen=True):
-    """Before the answer to RelayNewest: it is under way, and takes a while.
+    """Announces that a slow answer to RelayNewest is in transit.
 
     Attributes:
-      size: How many bytes it has, once that is known.
+      size: The size of the answer in bytes; 0 while it is not known.
     """
 
     ask_id: int
@@ -186,17 +187,17 @@
 
 
 class RelayedItem(codec.Message, frozen=True):
-    """The answer to RelayRead, and to RelayNewest of a key that has changed."""
+    """The answer to RelayRead, and to RelayNewest for a key that has changed."""
 
     ask_id: int
     item: transactions.Item
 
 
 class RelayedUnchanged(codec.Message, frozen=True):
-    """The answer to RelayNewest of a key that has not changed; else RelayedItem.
+    """The answer to RelayNewest for a key that has not changed.
 
     Attributes:
-      at: The store's revision until which it has not.
+      at: The store's revision up to which the key has not changed.
     """
 
     ask_id: int
@@ -204,18 +205,18 @@
 
 
 class RelayedRevision(codec.Message, frozen=True):
-    """The answer to RelayCommit that was applied."""
+    """The answer to RelayCommit for a transaction that was applied."""
 
     ask_id: int
     revision: int
 
 
 class RelayedFailure(codec.Message, frozen=True):
-    """The answer to either that failed.
+    """The answer to RelayRead, RelayNewest or RelayCommit if the call failed.
 
     Attributes:
-      is_refused: Whether a condition failed; `by_key` are the items then.
-      is_ambiguous: Whether it may have been applied.
+      is_refused: Whether a condition failed; `by_key` holds the items then.
+      is_ambiguous: Whether the transaction may have been applied.
     """
 
     ask_id: int
@@ -226,10 +227,10 @@
 
 
 class AskState(codec.Message, frozen=True):
-    """To the owner: the state of a job.
+    """To the owner: asks for the state of a job.
 
     Attributes:
-      caller: The workspace.Caller for whom it is asked.
+      caller: The workspace.Caller on whose behalf the state is requested.
     """
 
     ask_id: int
@@ -238,28 +239,28 @@
 
 
 class StateIs(codec.Message, frozen=True):
-    """The owner's answer; an empty state when the job is not known to it."""
+    """The answer to AskState; the state is empty if the owner does not know the job."""
 
     ask_id: int
     state: str
 
 
 class AskWaiting(codec.Message, frozen=True):
-    """To the owner: how many jobs of a queue have not begun."""
+    """To the owner: asks how many jobs of a queue have not started."""
 
     ask_id: int
     queue: str
 
 
 class WaitingIs(codec.Message, frozen=True):
-    """The owner's answer."""
+    """The answer to AskWaiting."""
 
     ask_id: int
     count: int
 
 
 class Advise(codec.Message, frozen=True):
-    """From the owner: call for advice."""
+    """From the owner: requests a call for advice."""
 
     job_id: str
     time: int
@@ -272,8 +273,8 @@
     """The answer to Advise.
 
     Attributes:
-      is_answered: Whether the service gave advice.
-      tickets: Pairs of worker id and ticket.
+      is_answered: Whether the advice service answered.
+      tickets: Pairs of worker ID and ticket.
     """
 
     job_id: str
--- a/thornport/cell/peers/peerlist.py
+++ b/thornport/cell/peers/peerlist.py
@@ -1,16 +1,17 @@
-"""The other processes of a cell, as its owners tell of them."""
+"""The other processes of a cell, as listed by its owners."""
 
-# A new owner knows only who has greeted it; peers greet twice a second, so within
-# this each that lives is listed again.
-MEMORY_S = 2.0
+# How long a peer stays listed after an owner listed it last. A new owner knows only
+# the peers that have greeted it; peers greet twice a second, so each live peer is
+# listed again within this time.
+ENTRY_TTL_S = 2.0
 
 
 class PeerList:
-    """Addresses of peers; one is forgotten when owners list it no more.
+    """Addresses of peers; an address expires when owners no longer list it.
 
     Attributes:
-      stopping: A frozenset of str, those of them that were told to stop. They go on
-        serving callers, so they are told what all have to know.
+      stopping: A frozenset of str, the addresses of peers that were asked to stop. They
+        still serve callers, so they receive the messages meant for all peers.
     """
 
     __slots__ = ("_listed_at_by_address", "stopping")
@@ -20,14 +21,14 @@
         self.stopping = frozenset()
 
     def take(self, addresses, now, stopping=()):
-        """Take a list of an owner.
+        """Merge a list from an owner, and drop expired addresses.
 
-        While there is no owner nothing is forgotten: the peers are needed then.
+        While there is no owner no address expires, as the peers are needed then.
 
         Args:
           addresses: An iterable of str.
           now: A float.
-          stopping: An iterable of str, of processes that were told to stop.
+          stopping: An iterable of str, of processes that were asked to stop.
         """
         self.stopping = frozenset(stopping)
         for address in {*addresses, *stopping}:
@@ -35,10 +36,10 @@
         self._listed_at_by_address = {
             address: listed_at
             for address, listed_at in self._listed_at_by_address.items()
-            if now - listed_at < MEMORY_S
+            if now - listed_at < ENTRY_TTL_S
         }
 
     @property
     def addresses(self):
-        """A frozenset of str."""
+        """The addresses of all listed peers, a frozenset of str."""
         return frozenset(self._listed_at_by_address)
--- a/thornport/cell/peers/peerlist_test.py
+++ b/thornport/cell/peers/peerlist_test.py
@@ -18,7 +18,7 @@
 
     def test_peer_that_is_listed_no_more_is_forgotten(self):
         self.peers.take({"a", "b"}, 11.0)
-        self.peers.take({"a", "b"}, 10.0 + peerlist.MEMORY_S)
+        self.peers.take({"a", "b"}, 10.0 + peerlist.ENTRY_TTL_S)
         self.assertEqual(self.peers.addresses, {"a", "b"})
 
 
--- a/thornport/cell/peers/questions.py
+++ b/thornport/cell/peers/questions.py
@@ -1,6 +1,6 @@
-"""Questions to another process over the bus, each matched with its answer.
+"""Questions to other processes over the bus, each matched with its answer.
 
-Messages may be lost, so a question that is not answered in time is given up.
+Messages may be lost, so a question times out if it is not answered.
 """
 
 from twisted.internet import defer
@@ -9,36 +9,36 @@
 
 
 class Questions:
-    """The questions of one kind that are open."""
+    """Open questions that share one default timeout."""
 
-    def __init__(self, reactor, bus, patience_s):
-        """Take the bus.
+    def __init__(self, reactor, bus, timeout_s):
+        """Set up without open questions.
 
         Args:
           reactor: Twisted's reactor.
           bus: A bus.Bus.
-          patience_s: A float, seconds to wait for an answer.
+          timeout_s: A float, the default time to wait for an answer.
         """
         self._reactor = reactor
         self._bus = bus
-        self._patience_s = patience_s
+        self._timeout_s = timeout_s
         self._ids = ids.count_anew()
         self._open_by_id = {}
 
-    async def ask(self, address, make_question, patience_s=0.0):
-        """Ask and wait.
+    async def ask(self, address, make_question, timeout_s=0.0):
+        """Send a question and wait for the answer.
 
         Args:
           address: A str, of the process that is asked.
-          make_question: A callable from an id to a message that carries it.
-          patience_s: A float, how long to wait if that is longer than usual.
+          make_question: A callable from an ID to a message that carries it.
+          timeout_s: A float, how long to wait if longer than the default.
         Returns:
-          The answer, a message; None if it did not come in time.
+          The answer, a message; None if it did not arrive in time.
         """
         ask_id = next(self._ids)
         waiting = defer.Deferred()
         timer = self._reactor.callLater(
-            max(self._patience_s, patience_s), waiting.callback, None
+            max(self._timeout_s, timeout_s), waiting.callback, None
         )
         self._open_by_id[ask_id] = waiting, timer
         self._bus.send(address, "", make_question(ask_id))
@@ -49,12 +49,14 @@
             if timer.active():
                 timer.cancel()
 
-    def wait_longer(self, ask_id, seconds):
-        """Wait for an answer that is under way; never less long than so far.
+    def extend_timeout(self, ask_id, seconds):
+        """Extend the timeout of a question whose answer is in transit.
+
+        The timeout is never shortened.
 
         Args:
           ask_id: An int, of a question that may be open.
-          seconds: A float, how long to wait from now on.
+          seconds: A float, the least time to wait from now on.
         """
         _, timer = self._open_by_id.get(ask_id, (None, None))
         if timer is not None and timer.active():
@@ -62,7 +64,7 @@
             timer.reset(max(left_s, seconds))
 
     def take_answer(self, message):
-        """Take an answer; one that came too late is dropped.
+        """Take an answer; a late answer is dropped.
 
         Args:
           message: A message with the `ask_id` of its question.
--- a/thornport/cell/peers/receiving.py
+++ b/thornport/cell/peers/receiving.py
@@ -1,8 +1,8 @@
-"""Messages from the other processes of a cell: what each makes this one do.
+"""Handlers of the messages from other processes of a cell.
 
-Many are meant for the owner; a process that does not decide drops those, and the
-sender asks or tells again, or finds what it wants in the store. One that is
-becoming the owner takes word of jobs already.
+Many messages are meant for the owner. A process that does not own the cell drops
+those; the sender retries or reads the store instead. A process that is becoming the
+owner already accepts notices of jobs.
 """
 
 import functools
@@ -16,26 +16,28 @@
 
 @functools.singledispatch
 def take(message, daemon, address):
-    """Take a message of another process.
+    """Handle a message from another process.
 
     Args:
       message: A message of peering.
       daemon: A daemon.SchedulerDaemon.
       address: A str, the sender's.
+    Raises:
+      TypeError: The type of the message has no handler.
     """
-    raise TypeError(f"no way to take {message!r}")
+    raise TypeError(f"no handler for message {message!r}")
 
 
-# Who is there.
+# Membership.
 
 
 @take.register
 def take_hello(message: peering.Hello, daemon, address):
-    """A process can call for advice; tell it of the others.
+    """Record a process that can call for advice, and send it the lists of peers.
 
-    One that is becoming the owner takes it too: it needs calls for advice as soon
-    as it decides. A process that messages do not reach yet is given no calls; it
-    greets again until it is answered.
+    A process that is becoming the owner records it too: it needs callers for advice
+    as soon as it decides. A process that cannot be sent messages yet is given no
+    calls; it repeats its greeting until it gets an answer.
     """
     if daemon.session is None:
         return
@@ -69,7 +71,7 @@
 
 @take.register
 def take_peers(message: peering.Peers, daemon, address):
-    """The owner tells which peers the store answers."""
+    """Update the lists of peers from the owner's answer to a greeting."""
     daemon.greeting.take_lists(address, message.version)
     daemon.relayed.hear_peer()
     daemon.liveness.hear(address)
@@ -86,107 +88,111 @@
         logs.log("peers-listed", count=len(daemon.peers.addresses), owner=address)
 
 
-# Jobs that peers keep.
+# Jobs that peers persist.
 
 
 @take.register
 def take_unresolved(message: peering.Unresolved, daemon, address):
-    """A job at a peer may be kept."""
+    """Note that a job submitted to a peer may have been persisted."""
     daemon.serving.intake.note_unresolved(message.job_id)
 
 
 @take.register
 def take_incoming(message: peering.Incoming, daemon, address):
-    """A job is being kept by a peer."""
+    """Pass the owner a job that a peer is persisting."""
     if daemon.session is not None:
         daemon.session.take_incoming(message.record)
 
 
 @take.register
 def take_kept(message: peering.Kept, daemon, address):
-    """A job, or its cancel, is kept."""
+    """Pass the owner a job or a cancellation that a peer has persisted."""
     if daemon.session is not None:
         daemon.session.take_persisted_by_peer(message.job_id, message.is_cancel)
 
 
-# From one owner to the next.
+# Liveness of the owner, handover and takeover.
 
 
 @take.register
 def take_leaving(message: peering.Leaving, daemon, address):
-    """The owner stops and hands the cell over."""
+    """Forget an owner that is stopping and hands the cell over."""
     daemon.candidacy.forget_owner()
 
 
 @take.register
 def take_alive(message: peering.Alive, daemon, address):
-    """The owner lives."""
+    """Record a heartbeat of the owner."""
     daemon.relayed.hear_peer()
     daemon.liveness.hear(address, message.lag_s)
 
 
 @take.register
 def answer_owner_heard(message: peering.AskOwnerHeard, daemon, address):
-    """A peer does not hear the owner."""
+    """Answer a peer that does not hear the owner."""
     daemon.liveness.answer(message, address)
 
 
 @take.register
 def take_owner_heard(message: peering.OwnerHeard, daemon, address):
-    """A peer tells whether it hears the owner."""
+    """Count a peer's answer in the vote on a silent owner."""
     daemon.liveness.take_answer(message, address)
 
 
 @take.register
 def take_offer(message: peering.Offer, daemon, address):
-    """An owner offers the cell: it stops, lacks the store, or its VM is smaller."""
+    """Answer an owner that offers the cell.
+
+    It does so when it stops, when the store does not answer it, or when its VM is the
+    smaller one.
+    """
     is_taken = daemon.take_offer(message.token, address)
     daemon.bus.send(address, "", peering.OfferAnswer(message.token, is_taken))
 
 
 @take.register
 def take_offer_answer(message: peering.OfferAnswer, daemon, address):
-    """A process takes the cell that was offered to it, or does not."""
+    """Pass on whether a process accepts the cell that was offered to it."""
     daemon.offering.take_answer(address, message)
 
 
 @take.register
 def take_ask_ceased(message: peering.AskCeased, daemon, address):
-    """A successor asks whether this process gives orders yet."""
+    """End an ownership that a successor has superseded, and confirm it to that one."""
     session = daemon.session
     if session is not None and session.core.token < message.token:
         session.lose("a successor asks")
-    # A session that is lost is the daemon's no more.
+    # The daemon drops a session that has lost the cell.
     if daemon.session is None:
         now = clock.read_monotonic()
-        told = lapses.tell(daemon.known_lapses, message.token, now)
-        daemon.bus.send(address, "", told)
+        reported = lapses.make_answer(daemon.known_lapses, message.token, now)
+        daemon.bus.send(address, "", reported)
 
 
 @take.register
 def take_ceased(message: peering.Ceased, daemon, address):
-    """An earlier owner gives no orders any more."""
+    """Pass the owner the confirmation that an earlier owner has stopped deciding."""
     session = daemon.session
     if session is not None and session.core.token == message.token:
-        told = lapses.read(message, clock.read_monotonic())
-        session.take_ceased(address, told)
+        reported = lapses.read_answer(message, clock.read_monotonic())
+        session.take_ceased(address, reported)
 
 
-# Calls to the store for a peer.
+# Store calls relayed for a peer.
 
 
 @take.register(peering.RelayRead)
 @take.register(peering.RelayNewest)
 @take.register(peering.RelayCommit)
 def relay(message, daemon, address):
-    """A process that the store does not answer wants a call made."""
+    """Make a store call for a process that the store does not answer."""
     tasks.spawn(daemon.relayed.serve(address, message), "relay")
 
 
 @take.register
-def wait_longer(message: peering.RelayedComing, daemon, address):
-    """A peer's answer is under way."""
-    daemon.relayed.wait_longer(message)
+def extend_timeout(message: peering.RelayedComing, daemon, address):
+    """Extend the timeout of a relayed call whose answer is in transit."""
+    daemon.relayed.extend_timeout(message)
 
 
 @take.register(peering.RelayedItem)
@@ -194,32 +200,32 @@
 @take.register(peering.RelayedRevision)
 @take.register(peering.RelayedFailure)
 def take_relayed(message, daemon, address):
-    """A peer has made a call to the store."""
+    """Take the outcome of a store call that a peer made for this process."""
     daemon.relayed.take_answer(message)
 
 
-# Calls to workers for the owner.
+# Worker calls made for the owner.
 
 
 @take.register
 def carry_calls(message: workercalls.WorkerCalls, daemon, address):
-    """The owner wants calls to workers made."""
+    """Make calls to workers for the owner."""
     daemon.call_executor.take_calls(address, message)
 
 
 @take.register
 def take_outcomes(message: workercalls.WorkerOutcomes, daemon, address):
-    """A process has made calls to workers."""
+    """Pass the owner the outcomes of calls to workers."""
     if daemon.session is not None:
         daemon.session.workers.take_outcomes(address, message)
 
 
-# Questions of callers, passed on to the owner.
+# Questions of callers, forwarded to the owner.
 
 
 @take.register
 def answer_state(message: peering.AskState, daemon, address):
-    """A process asks for a job's state."""
+    """Answer a peer's question for the state of a job."""
     core = daemon.get_core()
     if core is not None:
         state = core.read_state(message.job_id, message.caller)
@@ -229,7 +235,7 @@
 
 @take.register
 def answer_waiting(message: peering.AskWaiting, daemon, address):
-    """A process asks for a count."""
+    """Answer a peer's question for the number of waiting jobs in a queue."""
     core = daemon.get_core()
     if core is not None:
         count = core.count_waiting(message.queue)
@@ -239,7 +245,7 @@
 @take.register(peering.StateIs)
 @take.register(peering.WaitingIs)
 def take_answer(message, daemon, address):
-    """The owner answers."""
+    """Take the owner's answer to a forwarded question."""
     daemon.asker.take_answer(message)
 
 
@@ -248,12 +254,12 @@
 
 @take.register
 def take_advise(message: peering.Advise, daemon, address):
-    """The owner wants advice."""
+    """Start a call for advice that the owner has requested."""
     tasks.spawn(advise(message, daemon, address), "advise")
 
 
 async def advise(message, daemon, address):
-    """Call for advice and send the answer to the owner.
+    """Call the advice service and send its answer to the owner.
 
     Args:
       message: A peering.Advise.
@@ -281,7 +287,7 @@
 
 @take.register
 def take_advised(message: peering.Advised, daemon, address):
-    """Advice has come, or the call failed."""
+    """Pass the owner the advice, or the failure of the call for it."""
     logs.log(
         "advice-taken",
         job=message.job_id,
@@ -303,7 +309,7 @@
 
 
 def make_request(message):
-    """Make the request for advice that a message is about.
+    """Make the request for advice that a message refers to.
 
     Args:
       message: A peering.Advise or Advised.
--- a/thornport/cell/peers/relaying.py
+++ b/thornport/cell/peers/relaying.py
@@ -1,8 +1,8 @@
-"""Calls to the store by way of a peer, for when it does not answer us.
+"""Calls to the store, relayed by a peer when the store does not answer this process.
 
-The store may turn some processes away and serve the others. A write by way of
-a peer has the same conditions as one of our own, so it does no harm when both
-arrive. The owner tells each process which peers the store answers.
+The store may reject some processes and serve the others. A relayed write carries the
+same conditions as the direct one, so it does no harm if both arrive. The owner
+notifies each process of the peers that the store answers.
 """
 
 import math
@@ -16,41 +16,42 @@
 from thornport.kernel import clock, httpcalls, tasks
 from thornport.store import port, transactions, watching
 
-HEDGE_S = 0.12  # until a call goes by way of a peer too; a busy store answers sooner
-# A store that answers all slowly answers a peer no sooner: a call goes by way of a
-# peer when it takes this many times as long as the slowest answers of late.
-HEDGE_TIMES = 2.0
-PEER_S = 0.4  # wait for a peer's answer
-# Likewise, in times of the slowest answers of late: a peer that waits for a slow store
-# would be given up each time, and taken off the list.
-PEER_TIMES = 2.0
-# How often a peer tells at the most that an answer is under way.
-COMING_S = PEER_S / 4
-# An answer that takes a part of PEER_S on the slowest link; a larger one is announced.
+HEDGE_S = 0.12  # before a call is also relayed; a busy store answers sooner
+# A store that is slow for all is no faster for a peer: a call is relayed only once it
+# takes this many times as long as the slowest recent answers.
+HEDGE_FACTOR = 2.0
+PEER_TIMEOUT_S = 0.4  # for a peer's answer
+# The timeout is at least this multiple of the slowest recent answers: otherwise a peer
+# that waits for a slow store would time out each time, and be taken off the list.
+PEER_TIMEOUT_FACTOR = 2.0
+# Minimum interval between a peer's notices that an answer is in transit.
+COMING_PERIOD_S = PEER_TIMEOUT_S / 4
+# An answer of this size takes a fraction of PEER_TIMEOUT_S on the slowest link; a
+# larger one is announced.
 LARGE_BYTES = 25_000
-# Whoever hears neither an owner nor a peer that relays for so long is cut off from
-# those that serve; it may hear others that are. Its callers would wait while it asked
-# one peer after the other.
+# A process that has heard neither an owner nor a relaying peer for this long is cut off
+# from the serving processes, though it may hear others that are cut off too. Its
+# callers would otherwise wait while it asked one peer after another.
 CUT_OFF_S = 0.5
 
 
 class Unchanged(msgspec.Struct, frozen=True):
-    """A key has not changed until a revision of the store, `at`."""
+    """States that a key has not changed up to revision `at` of the store."""
 
     at: int
 
 
 class RelayedStore:
-    """Reads and writes keys directly, or by way of a peer.
+    """Reads and writes keys directly, or through a peer.
 
     Attributes:
       peer_addresses: A tuple of str, the peers that the store answers.
-      on_late: A callable of a transactions.Item that a peer sent after it was given
-        up: it was in the store once, and something newer may be by now.
+      on_late: A callable of a transactions.Item that a peer sent after its call timed
+        out: the item was in the store, but may have been superseded since.
     """
 
     def __init__(self, reactor, store, bus):
-        """Take the ways to the store.
+        """Set up direct and relayed access to the store.
 
         Args:
           reactor: Twisted's reactor.
@@ -60,33 +61,33 @@
         self._reactor = reactor
         self._store = store
         self._bus = bus
-        self._questions = questions.Questions(reactor, bus, PEER_S)
+        self._questions = questions.Questions(reactor, bus, PEER_TIMEOUT_S)
         self._random = random.Random()
         self._heard_at = -math.inf
         self.peer_addresses = ()
         self.on_late = lambda item: None
 
     def hear_peer(self):
-        """Take that an owner, or a peer that made a call for this process, is heard."""
+        """Note a message from an owner, or from a peer that relays a call."""
         self._heard_at = clock.read_monotonic()
 
     def is_cut_off(self):
-        """Whether neither the store nor whoever may reach it is heard."""
+        """Whether neither the store nor a process that may reach it is heard."""
         is_unheard = clock.read_monotonic() - self._heard_at > CUT_OFF_S
         return is_unheard and self._store.is_unavailable()
 
     def is_unavailable(self):
-        """Whether the store answers neither this process nor a peer within reach."""
+        """Whether the store answers neither this process nor a reachable peer."""
         if not self._store.is_unavailable():
             return False
         return not self.peer_addresses or self.is_cut_off()
 
     async def read_page(self, prefix, after_key="", on_bytes=None):
-        """As the client's; pages are read directly alone."""
+        """Read a page as the client does; pages are never relayed."""
         return await self._store.read_page(prefix, after_key, on_bytes)
 
     def read_key(self, key):
-        """Read a key; a Deferred of a Result of Item."""
+        """Read a key; returns a Deferred of a Result of Item."""
 
         def make_question(ask_id):
             return peering.RelayRead(ask_id, key)
@@ -96,59 +97,59 @@
     def read_newest(self, key, known_revision):
         """Read a key if it has changed since a revision.
 
-        It asks for no more than is new: a configuration of 1 MB that has not changed,
-        read twice a second, would fill the link of a small VM.
+        Only new data is requested: an unchanged configuration of 1 MB, read twice a
+        second, would saturate the link of a small VM.
 
         Args:
           key: A str.
-          known_revision: An int, of the store, until which its changes are known.
+          known_revision: An int, the store's revision up to which changes are known.
         Returns:
           A Deferred of a Result of Item, or of Unchanged.
         """
-        receiving = Receiving(self._reactor, lambda: None)
+        progress = AnswerProgress(self._reactor, lambda: None)
 
         def make_question(ask_id):
             return peering.RelayNewest(ask_id, key, known_revision)
 
         return self._call(
-            lambda: read_newest(self._store, key, known_revision, receiving.note_bytes),
+            lambda: read_newest(self._store, key, known_revision, progress.note_bytes),
             make_question,
-            receiving,
+            progress,
         )
 
     def commit(self, transaction):
-        """Apply a transaction; a Deferred of a Result of its revision."""
+        """Apply a transaction; returns a Deferred of a Result of its revision."""
 
         def make_question(ask_id):
             return peering.RelayCommit(ask_id, transaction)
 
         return self._call(lambda: self._store.commit(transaction), make_question)
 
-    def _call(self, call, make_question, receiving=None):
-        return defer.ensureDeferred(self._race(call, make_question, receiving))
+    def _call(self, call, make_question, progress=None):
+        return defer.ensureDeferred(self._race(call, make_question, progress))
 
-    async def _race(self, call, make_question, receiving):
-        """Call directly; by way of a peer too if that fails or takes long.
+    async def _race(self, call, make_question, progress):
+        """Call directly, and relay the call too if that fails or takes long.
 
-        Not beside an answer that is coming: a large one over a slow link would come
-        later for a copy of it.
+        The call is not relayed while the direct answer is arriving: a copy would delay
+        a large answer on a slow link.
         """
         if self.is_unavailable():
-            return result.Failure(port.Unavailable("the store is away"))
+            return result.Failure(port.Unavailable("the store is unavailable"))
         if self._store.is_unavailable():
             return await self._ask_peer(make_question)
         direct = tasks.spawn(call(), "store-call")
-        hedge_s = max(HEDGE_S, HEDGE_TIMES * self._store.slowest_s)
+        hedge_s = max(HEDGE_S, HEDGE_FACTOR * self._store.slowest_s)
         outcome = await self._wait_until(direct, hedge_s)
         if is_known(outcome) or not self.peer_addresses:
             return outcome if outcome is not None else read_outcome(await direct)
-        if outcome is None and receiving is not None and receiving.has_begun:
+        if outcome is None and progress is not None and progress.has_begun:
             return read_outcome(await direct)
         relayed = tasks.spawn(self._ask_peer(make_question), "ask-peer")
         return await self._wait_for_either(direct, relayed)
 
     async def _wait_until(self, running, seconds):
-        """Wait for a call a while; its outcome, or None while it is open."""
+        """Wait for a call up to a timeout; returns its outcome, None if still open."""
         first = defer.Deferred()
 
         def note(outcome):
@@ -162,7 +163,7 @@
         )
 
     async def _wait_for_either(self, direct, relayed):
-        """Wait until one of two calls tells what is in the store, or both failed."""
+        """Wait until one of two calls has a definite outcome, or both have failed."""
         answers = defer.DeferredQueue()
         for running in (direct, relayed):
             running.addCallback(lambda outcome: answers.put(outcome) or outcome)
@@ -171,7 +172,7 @@
             return first
         if not direct.called and self._store.is_unavailable():
             # The direct call is still open: the write may have been applied.
-            return result.Failure(port.Ambiguous("no answer yet"))
+            return result.Failure(port.Ambiguous("the store has not answered yet"))
         second = read_outcome(await answers.get())
         if is_known(second):
             return second
@@ -179,18 +180,18 @@
 
     async def _ask_peer(self, make_question):
         address = self._random.choice(self.peer_addresses)
-        patience_s = max(PEER_S, PEER_TIMES * self._store.slowest_s)
-        answer = await self._questions.ask(address, make_question, patience_s)
+        timeout_s = max(PEER_TIMEOUT_S, PEER_TIMEOUT_FACTOR * self._store.slowest_s)
+        answer = await self._questions.ask(address, make_question, timeout_s)
         if answer is None:
-            # The owner tells again which peers the store answers.
+            # The owner's next lists restore the peer if the store answers it.
             self.peer_addresses = tuple(
                 other for other in self.peer_addresses if other != address
             )
-            return result.Failure(port.Ambiguous("no answer of a peer"))
+            return result.Failure(port.Ambiguous("the relaying peer did not answer"))
         return decode_answer(answer)
 
     def take_answer(self, message):
-        """Take a peer's answer; of those that came too late, items alone.
+        """Take a peer's answer; of late answers only items are used.
 
         Args:
           message: A peering.RelayedItem, RelayedUnchanged, RelayedRevision or
@@ -201,25 +202,27 @@
         if not is_awaited and isinstance(message, peering.RelayedItem):
             self.on_late(message.item)
 
-    def wait_longer(self, message):
-        """Take that a peer's answer is under way.
+    def extend_timeout(self, message):
+        """Extend the timeout of a call whose answer is in transit from a peer.
 
         Args:
           message: A peering.RelayedComing.
         """
         self.hear_peer()
         sending_s = message.size / httpcalls.SLOWEST_BYTES_PER_S
-        self._questions.wait_longer(message.ask_id, PEER_S + sending_s)
+        self._questions.extend_timeout(message.ask_id, PEER_TIMEOUT_S + sending_s)
 
     async def serve(self, address, message):
-        """Make a call for a peer and send the answer.
+        """Make a store call for a peer and send it the outcome.
 
         Args:
           address: A str, the peer's.
           message: A peering.RelayRead, RelayNewest or RelayCommit.
         """
         if self._store.is_unavailable():
-            outcome = result.Failure(port.Unavailable("the store is away here too"))
+            outcome = result.Failure(
+                port.Unavailable("the store is unavailable at the peer")
+            )
         elif isinstance(message, peering.RelayRead):
             outcome = await self._store.read_key(message.key)
         elif isinstance(message, peering.RelayNewest):
@@ -229,51 +232,51 @@
         self._bus.send(address, "", encode_answer(message.ask_id, outcome))
 
     async def _read_for_peer(self, address, message):
-        """Read the newest of a key for a peer, which is told while it takes long."""
+        """Read a changed key for a peer, notifying it while the answer is arriving."""
 
-        def tell(size=0):
+        def notify(size=0):
             coming = peering.RelayedComing(message.ask_id, size)
             self._bus.send(address, "", coming)
 
-        receiving = Receiving(self._reactor, tell)
+        progress = AnswerProgress(self._reactor, notify)
         outcome = await read_newest(
-            self._store, message.key, message.known_revision, receiving.note_bytes
+            self._store, message.key, message.known_revision, progress.note_bytes
         )
         if isinstance(outcome, result.Success):
             value = outcome.unwrap()
             if isinstance(value, transactions.Item) and len(value.value) > LARGE_BYTES:
-                tell(len(value.value))
+                notify(len(value.value))
         return outcome
 
 
-class Receiving:
-    """Whether an answer of the store is coming.
+class AnswerProgress:
+    """Tracks whether an answer of the store is arriving.
 
     Attributes:
-      has_begun: Whether bytes of one have come.
+      has_begun: Whether any bytes of the answer have arrived.
     """
 
-    __slots__ = ("_reactor", "_tell", "_told_at", "has_begun")
+    __slots__ = ("_notified_at", "_notify", "_reactor", "has_begun")
 
-    def __init__(self, reactor, tell):
-        """Take whom to tell.
+    def __init__(self, reactor, notify):
+        """Begin before any bytes have arrived.
 
         Args:
           reactor: Twisted's reactor.
-          tell: A callable, called again and again while an answer is coming.
+          notify: A callable, called repeatedly while an answer is arriving.
         """
         self._reactor = reactor
-        self._tell = tell
-        self._told_at = reactor.seconds()
+        self._notify = notify
+        self._notified_at = reactor.seconds()
         self.has_begun = False
 
     def note_bytes(self):
-        """Take that bytes of an answer have come."""
+        """Note that bytes of an answer have arrived."""
         self.has_begun = True
         now = self._reactor.seconds()
-        if now - self._told_at >= COMING_S:
-            self._told_at = now
-            self._tell()
+        if now - self._notified_at >= COMING_PERIOD_S:
+            self._notified_at = now
+            self._notify()
 
 
 async def read_newest(store, key, known_revision, on_bytes=None):
@@ -282,8 +285,8 @@
     Args:
       store: A health.CheckedStore.
       key: A str.
-      known_revision: An int, of the store, until which its changes are known.
-      on_bytes: A callable, called whenever bytes of an answer come; None for none.
+      known_revision: An int, the store's revision up to which changes are known.
+      on_bytes: A callable, called whenever bytes of an answer arrive, or None.
     Returns:
       A Result of Item, or of Unchanged.
     """
@@ -303,17 +306,17 @@
 
 
 async def read_whole(store, key, known_revision, on_bytes):
-    """Read a key of which the store does not know any more when it changed.
+    """Read a key whose change history the store has dropped.
 
     Args:
       store: A health.CheckedStore.
       key: A str.
-      known_revision: An int.
-      on_bytes: A callable, called whenever bytes of an answer come; None for none.
+      known_revision: An int, the store's revision up to which changes are known.
+      on_bytes: A callable, called whenever bytes of an answer arrive, or None.
     Returns:
       A Result of Item, or of Unchanged.
     """
-    # A large value may take long, which a read of a key counts as a slow store.
+    # A plain read of the key would count the time for a large value as a slow store.
     read = await watching.read_prefix(store, key, on_bytes)
     if isinstance(read, result.Failure):
         return read
@@ -327,14 +330,14 @@
 
 
 def read_outcome(outcome):
-    """Take the outcome of a call that may have failed by a fault of ours."""
+    """Return an outcome; None, of a call that raised, becomes an ambiguous failure."""
     if outcome is None:
-        return result.Failure(port.Ambiguous("the call failed"))
+        return result.Failure(port.Ambiguous("the store call raised an exception"))
     return outcome
 
 
 def is_known(outcome):
-    """Tell whether an outcome says what is in the store now."""
+    """Whether an outcome is definite: the call succeeded or a condition failed."""
     if outcome is None:
         return False
     return isinstance(outcome, result.Success) or port.is_failure(
@@ -343,12 +346,12 @@
 
 
 def is_ambiguous(outcome):
-    """Tell whether a call may have been carried out."""
+    """Whether a failed call may have been applied."""
     return port.is_failure(outcome, port.Ambiguous)
 
 
 def encode_answer(ask_id, outcome):
-    """Encode the outcome of a call for a peer."""
+    """Encode the outcome of a relayed call as a message."""
     if isinstance(outcome, result.Success):
         value = outcome.unwrap()
         if isinstance(value, Unchanged):
@@ -368,7 +371,7 @@
 
 
 def decode_answer(answer):
-    """Decode a peer's answer into a Result."""
+    """Decode a peer's answer to a relayed call into a Result."""
     if isinstance(answer, peering.RelayedItem):
         return result.Success(answer.item)
     if isinstance(answer, peering.RelayedUnchanged):
--- a/thornport/cell/peers/relaying_test.py
+++ b/thornport/cell/peers/relaying_test.py
@@ -223,10 +223,10 @@
         ask_id = self.bus.sent[0].ask_id
         # It comes to the peer for a while, and is then sent on.
         for _ in range(3):
-            self.relayed.wait_longer(peering.RelayedComing(ask_id))
-            self.clock.advance(relaying.PEER_S - 0.1)
-        self.relayed.wait_longer(peering.RelayedComing(ask_id, size))
-        self.clock.advance(relaying.PEER_S + 2.5)
+            self.relayed.extend_timeout(peering.RelayedComing(ask_id))
+            self.clock.advance(relaying.PEER_TIMEOUT_S - 0.1)
+        self.relayed.extend_timeout(peering.RelayedComing(ask_id, size))
+        self.clock.advance(relaying.PEER_TIMEOUT_S + 2.5)
         item = transactions.Item("op/x", bytes(size), 7)
         self.answer_peer(peering.RelayedItem, item)
         self.assertEqual(self.outcomes, [result.Success(item)])
@@ -254,7 +254,7 @@
         size = len(peering.CODEC.encode(message))
         self._idle_at = max(self._idle_at, now) + size / self.bytes_per_s
         is_coming = isinstance(message, peering.RelayedComing)
-        take = self.asker.wait_longer if is_coming else self.asker.take_answer
+        take = self.asker.extend_timeout if is_coming else self.asker.take_answer
         self._reactor.callLater(self._idle_at - now, take, message)
 
 
@@ -294,11 +294,11 @@
 
     def test_peer_tells_that_the_store_is_answering_it(self):
         """Its own link may be a slow one."""
-        receiving = relaying.Receiving(self.clock, mock.Mock())
+        progress = relaying.AnswerProgress(self.clock, mock.Mock())
         for _ in range(10):
-            receiving.note_bytes()
-            self.clock.advance(0.6 * relaying.COMING_S)
-        self.assertEqual(receiving._tell.call_count, 4)
+            progress.note_bytes()
+            self.clock.advance(0.6 * relaying.COMING_PERIOD_S)
+        self.assertEqual(progress._notify.call_count, 4)
 
 
 class CutOff(RelayCase):
--- a/thornport/cell/peers/silencevote.py
+++ b/thornport/cell/peers/silencevote.py
@@ -1,31 +1,31 @@
-"""Agreeing that an owner is silent, to replace it before its lease runs out.
+"""Votes among peers on whether an owner is silent, to replace it before its lease ends.
 
-Any process may overwrite the owner's key at its revision, so this is no question of
-safety: an owner that is replaced too early costs a takeover. To keep one that
-merely can't reach us, more than half of the peers must not hear it either.
+Safety does not depend on the vote: any process may overwrite the owner's key at its
+revision, and replacing an owner too early only costs a takeover. More than half of the
+peers must not hear the owner, so that one that merely cannot reach this process stays.
 """
 
 import msgspec
 
-# Answers come in milliseconds, but the first message to a peer is lost while it is
-# being connected to, and so is its first answer.
+# Interval between questions. Answers arrive in milliseconds, but the first message to a
+# peer, and its first answer, are lost while the connection is being made.
 ASK_AGAIN_S = 0.06
 
 
-# Of more peers than this some are asked, drawn anew for each poll: questions of all to
-# all keep small VMs from hearing the owner when it speaks again. Of so many, few draws
-# have most among a part of the cell that is cut off from the owner.
+# If there are more peers, a new random sample is asked for each vote: questions from
+# all to all would keep small VMs from hearing the owner's next heartbeat. In a sample
+# this large, peers of a part of the cell that is cut off from the owner seldom prevail.
 MAX_VOTERS = 31
 
 
 def choose_voters(addresses, rng):
-    """Choose whom to ask.
+    """Choose the peers to ask.
 
     Args:
       addresses: A frozenset of str.
       rng: A random.Random.
     Returns:
-      A frozenset of str, MAX_VOTERS of them at the most.
+      A frozenset of str, at most MAX_VOTERS of the addresses.
     """
     if len(addresses) <= MAX_VOTERS:
         return addresses
@@ -33,13 +33,13 @@
 
 
 class SilenceVote(msgspec.Struct):
-    """A question to all peers about one owner.
+    """Collects the answers of peers on whether they hear one owner.
 
     Attributes:
-      revision: An int, of the key of the owner that is silent.
-      peer_addresses: A frozenset of str, those that are asked, without the owner.
-      ask_at: A float, when to ask (again).
-      silent_addresses: Those of them that don't hear it either.
+      revision: An int, of the key of the silent owner.
+      peer_addresses: A frozenset of str, the peers asked, without the owner.
+      ask_at: A float, when to ask next.
+      silent_addresses: The peers asked that do not hear the owner.
     """
 
     revision: int
@@ -48,19 +48,19 @@
     silent_addresses: set[str] = msgspec.field(default_factory=set)
 
     def is_due(self, now):
-        """Whether to ask; the next time is later then."""
+        """Whether to ask now; if so, schedules the next question."""
         if now < self.ask_at:
             return False
         self.ask_at = now + ASK_AGAIN_S
         return True
 
     def take_answer(self, address, revision, is_silent):
-        """Take the answer of a peer.
+        """Count the answer of a peer.
 
         Args:
           address: A str, the peer's.
-          revision: An int, of the owner that it was asked about.
-          is_silent: A bool, whether it does not hear that owner.
+          revision: An int, of the key of the owner that the answer is about.
+          is_silent: A bool, whether the peer does not hear that owner.
         """
         if revision != self.revision or address not in self.peer_addresses:
             return
@@ -70,5 +70,5 @@
             self.silent_addresses.discard(address)
 
     def is_agreed(self):
-        """Whether more than half of the peers don't hear the owner."""
+        """Whether more than half of the peers asked do not hear the owner."""
         return 2 * len(self.silent_addresses) > len(self.peer_addresses)
--- a/thornport/cell/peers/telling.py
+++ b/thornport/cell/peers/telling.py
@@ -1,27 +1,28 @@
-"""Telling the other processes of a cell of jobs that this one keeps.
+"""Notices to the other processes of a cell about jobs that this process persists.
 
-The watch of the owner finds each job in the store some tenths of a second later;
-word of it lets the owner start sooner, and is not sent again when it is lost. Word of a
-cancel is: a watch that falls silent is asked again after 2.8 s only, and what runs has
-to be stopped within 3 s.
+The owner's watch finds each job in the store some tenths of a second later. A notice
+lets the owner start it sooner, and is not resent if it is lost. A notice of a
+cancellation is resent: a watch that falls silent is renewed only after 2.8 s, and
+running tasks must be stopped within 3 s.
 """
 
 from thornport.cell.peers import peering
 from thornport.jobs import intake, record
 from thornport.kernel import tasks
 
-TELL_AGAIN_S = 0.3  # between words of a cancel; an owner keeps it well within
-# After so many a successor has read the cancel from the store, or every
-# lease that the earlier owner granted is over.
-MAX_TELLS = 30
+# Between notices of a cancellation, which an owner persists well within this time.
+RESEND_PERIOD_S = 0.3
+# After this many notices a successor has read the cancellation from the store, or all
+# leases that the earlier owner granted are over.
+MAX_SENDS = 30
 FINAL_STATES = frozenset(state.value for state in record.FINAL_STATES)
 
 
 class PeerTelling(intake.Notifier):
-    """Tells the owner, which may be this process, and the peers."""
+    """Notifies the peers and the owner, which may be this process."""
 
     def __init__(self, reactor, daemon):
-        """Take what is needed.
+        """Set up without sending anything yet.
 
         Args:
           reactor: Twisted's reactor.
@@ -31,7 +32,7 @@
         self._daemon = daemon
 
     def notify_unresolved(self, job_id):
-        """Tell all peers of a job that may be kept, so that none refuses it.
+        """Notify all peers of a job that may be persisted, so that none refuses it.
 
         Args:
           job_id: A str.
@@ -40,10 +41,10 @@
         self._daemon.bus.send_to_all(addresses, peering.Unresolved(job_id))
 
     def notify_incoming(self, value):
-        """Tell the owner of a job that is being kept.
+        """Notify the owner of a job that is being persisted.
 
         Args:
-          value: Bytes, its record encoded.
+          value: Bytes, the encoded record of the job.
         """
         if self._daemon.get_core() is not None:
             self._daemon.session.take_incoming(value)
@@ -51,11 +52,11 @@
             self._send_to_owner(peering.Incoming(value))
 
     def notify_persisted(self, job_id, is_cancel=False):
-        """Tell the owner that a job, or its cancel, is kept.
+        """Notify the owner that a job, or its cancellation, is persisted.
 
         Args:
           job_id: A str.
-          is_cancel: A bool.
+          is_cancel: A bool, whether the cancellation is persisted.
         """
         if is_cancel:
             tasks.spawn(self._tell_cancel(job_id), "tell-cancel")
@@ -63,15 +64,15 @@
             self._tell_once(job_id, is_cancel)
 
     async def _tell_cancel(self, job_id):
-        """Tell whoever owns the cell of a cancel until it shows the job as over."""
-        for _ in range(MAX_TELLS):
+        """Notify the current owner of a cancellation until it reports a final state."""
+        for _ in range(MAX_SENDS):
             self._tell_once(job_id, is_cancel=True)
-            await tasks.sleep(self._reactor, TELL_AGAIN_S)
+            await tasks.sleep(self._reactor, RESEND_PERIOD_S)
             if await self._read_state(job_id) in FINAL_STATES:
                 return
 
     async def _read_state(self, job_id):
-        """Read the state that the owner shows, a str; empty when there is none."""
+        """Read the job state that the owner reports, a str; empty if there is none."""
         core = self._daemon.get_core()
         if core is None:
             address = self._daemon.owner_address or ""
--- a/thornport/cell/peers/workercalls.py
+++ b/thornport/cell/peers/workercalls.py
@@ -1,7 +1,7 @@
 """Messages between an owner and the processes that call workers for it.
 
-Calls and their outcomes are gathered: one message holds those of some milliseconds.
-Their parts are encoded without field names, for they are most of what an owner sends.
+Calls and outcomes are batched: one message holds those of a few milliseconds. They are
+most of what an owner sends, so their parts are encoded without field names.
 """
 
 import msgspec
@@ -20,26 +20,26 @@
 
 
 class NumberedCall(msgspec.Struct, frozen=True, array_like=True):
-    """A call to a worker; the owner matches its outcome by the number."""
+    """A call to a worker, numbered so that the owner can match its outcome."""
 
     number: int
     call: Call
 
 
 class NumberedOutcome(msgspec.Struct, frozen=True, array_like=True):
-    """What came of a call."""
+    """The outcome of the call with the same number."""
 
     number: int
     outcome: Outcome
 
 
 class WorkerCalls(codec.Message, frozen=True):
-    """From the owner: make these calls; an empty one asks for a sign of life."""
+    """From the owner: requests these calls; without calls, asks for a sign of life."""
 
     calls: tuple[NumberedCall, ...]
 
 
 class WorkerOutcomes(codec.Message, frozen=True):
-    """The answer, as calls end; an empty one says that others are still open."""
+    """To the owner: outcomes of ended calls; without any, calls are still open."""
 
     outcomes: tuple[NumberedOutcome, ...] = ()
