--- a/thornport/cell/daemon.py
+++ b/thornport/cell/daemon.py
@@ -16,10 +16,10 @@
     candidacy,
     greeting,
     liveness,
+    notifying,
     peerlist,
     receiving,
     relaying,
-    telling,
 )
 from thornport.jobs import intake
 from thornport.kernel import clock, logs, looplag, tasks
@@ -73,7 +73,7 @@
         self.is_stopping = False
         self.hand_over_by = math.inf
         self.relayed = relaying.RelayedStore(reactor, ports.store, bus)
-        told = telling.PeerTelling(reactor, self)
+        told = notifying.PeerNotifier(reactor, self)
         job_intake = intake.Intake(reactor, self.relayed, metrics, told)
         self.serving = serving.Serving(reactor, self, job_intake)
         self._make_peer_parts(reactor)
--- a/thornport/cell/peers/telling.py
+++ b/thornport/cell/peers/notifying.py
@@ -18,7 +18,7 @@
 FINAL_STATES = frozenset(state.value for state in record.FINAL_STATES)
 
 
-class PeerTelling(intake.Notifier):
+class PeerNotifier(intake.Notifier):
     """Notifies the peers and the owner, which may be this process."""
 
     def __init__(self, reactor, daemon):
@@ -59,14 +59,14 @@
           is_cancel: A bool, whether the cancellation is persisted.
         """
         if is_cancel:
-            tasks.spawn(self._tell_cancel(job_id), "tell-cancel")
+            tasks.spawn(self._notify_cancel(job_id), "tell-cancel")
         else:
-            self._tell_once(job_id, is_cancel)
+            self._notify_once(job_id, is_cancel)
 
-    async def _tell_cancel(self, job_id):
+    async def _notify_cancel(self, job_id):
         """Notify the current owner of a cancellation until it reports a final state."""
         for _ in range(MAX_SENDS):
-            self._tell_once(job_id, is_cancel=True)
+            self._notify_once(job_id, is_cancel=True)
             await tasks.sleep(self._reactor, RESEND_PERIOD_S)
             if await self._read_state(job_id) in FINAL_STATES:
                 return
@@ -80,7 +80,7 @@
         state = core.read_state(job_id)
         return state.value if state is not None else ""
 
-    def _tell_once(self, job_id, is_cancel):
+    def _notify_once(self, job_id, is_cancel):
         if self._daemon.get_core() is not None:
             self._daemon.session.take_persisted_by_peer(job_id, is_cancel)
         else:
--- a/thornport/cell/peers/telling_test.py
+++ b/thornport/cell/peers/notifying_test.py
@@ -5,7 +5,7 @@
 
 from twisted.internet import task
 
-from thornport.cell.peers import asking, peering, telling
+from thornport.cell.peers import asking, notifying, peering
 
 OWNER = "10.0.0.1:1"
 SUCCESSOR = "10.0.0.2:1"
@@ -57,7 +57,7 @@
             owner_address=OWNER,
             get_core=lambda: None,
         )
-        self.telling = telling.PeerTelling(self.reactor, self.daemon)
+        self.notifier = notifying.PeerNotifier(self.reactor, self.daemon)
 
     def wait(self):
         """Let the time pass in which the owner has to know."""
@@ -65,13 +65,13 @@
 
     def test_lost_word_is_sent_again(self):
         self.owners.lost = 4
-        self.telling.notify_persisted("a", is_cancel=True)
+        self.notifier.notify_persisted("a", is_cancel=True)
         self.wait()
         self.assertEqual(self.owners.told, [(OWNER, "a")])
 
     def test_successor_is_told_once_it_knows_the_job(self):
         self.daemon.owner_address = None
-        self.telling.notify_persisted("a", is_cancel=True)
+        self.notifier.notify_persisted("a", is_cancel=True)
         self.reactor.pump([STEP_S] * 100)
         self.daemon.owner_address = SUCCESSOR
         self.reactor.pump([STEP_S] * 50)
@@ -81,14 +81,14 @@
         self.assertEqual(states, {"a": "cancelled"})
 
     def test_word_that_came_is_not_repeated(self):
-        self.telling.notify_persisted("a", is_cancel=True)
+        self.notifier.notify_persisted("a", is_cancel=True)
         self.wait()
         self.assertEqual(self.owners.told, [(OWNER, "a")])
         self.assertEqual(self.reactor.getDelayedCalls(), [])
 
     def test_word_ends_though_no_owner_ever_shows_the_end(self):
         self.daemon.owner_address = None
-        self.telling.notify_persisted("a", is_cancel=True)
+        self.notifier.notify_persisted("a", is_cancel=True)
         self.reactor.pump([STEP_S] * 3000)
         self.assertEqual(self.reactor.getDelayedCalls(), [])
 
