--- a/thornport/cell/peers/candidacy_test.py
+++ b/thornport/cell/peers/candidacy_test.py
@@ -1,4 +1,4 @@
-"""Who claims a cell first."""
+"""Tests the order in which processes claim a cell."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class ComputeWait(unittest.TestCase):
-    """The wait before a claim."""
+    """Tests the wait before a claim on VMs of different sizes."""
 
     def setUp(self):
         self.small = candidacy.Candidacy("small", 0.5)
@@ -16,7 +16,7 @@
             process.take_largest(2.0)
             process.hear_owner(10.0)
 
-    def test_large_vm_is_first_by_more_than_a_try_of_the_watch(self):
+    def test_large_vm_claims_first_by_more_than_one_watch_attempt(self):
         small_s = self.small.compute_wait_s(20.0, is_offered=False)
         large_s = self.large.compute_wait_s(20.0, is_offered=False)
         self.assertGreater(small_s - large_s, 0.2)
@@ -27,15 +27,16 @@
         wait_s = small.compute_wait_s(20.0, is_offered=False)
         self.assertLessEqual(wait_s, candidacy.CLAIM_SPREAD_S)
 
-    def test_owner_that_lives_may_get_its_key_back_first(self):
+    def test_live_owner_may_regain_its_key_first(self):
         wait_s = self.large.compute_wait_s(10.2, is_offered=False)
         self.assertGreaterEqual(wait_s, candidacy.REGAIN_WAIT_S)
 
-    def test_owner_that_was_not_heard_yet_may_get_its_key_back_first(self):
-        """A process learns of an owner some hundredths of a second before it hears it.
+    def test_owner_not_heard_yet_may_regain_its_key_first(self):
+        """Guards against a claim on a live owner that has not been heard yet.
 
-        Three processes began one after the other, and the key was taken back 28 and 35
-        ms after the last one had learned of the owner: it claimed 17 ms later.
+        A process learns of an owner some hundredths of a second before it hears it.
+        Three processes started one after another: the owner regained its key 28 and 35
+        ms after the last one had learned of the owner, which claimed 17 ms later.
         """
         joined = candidacy.Candidacy("joined", 2.0)
         joined.note_new_owner(10.0)
@@ -43,33 +44,33 @@
         wait_s = joined.compute_wait_s(10.03, is_offered=False)
         self.assertGreaterEqual(wait_s, candidacy.REGAIN_WAIT_S)
 
-    def test_owner_that_is_never_heard_is_not_waited_for(self):
+    def test_owner_that_is_never_heard_gets_no_wait(self):
         joined = candidacy.Candidacy("joined", 2.0)
         joined.note_new_owner(10.0)
         after_s = candidacy.OWNER_ALIVE_S + 0.01
         wait_s = joined.compute_wait_s(10.0 + after_s, is_offered=False)
         self.assertLessEqual(wait_s, candidacy.CLAIM_SPREAD_S)
 
-    def test_owner_that_leaves_before_it_was_heard_is_not_waited_for(self):
+    def test_owner_that_leaves_before_it_is_heard_gets_no_wait(self):
         joined = candidacy.Candidacy("joined", 2.0)
         joined.note_new_owner(10.0)
         joined.forget_owner()
         wait_s = joined.compute_wait_s(10.03, is_offered=False)
         self.assertLessEqual(wait_s, candidacy.CLAIM_SPREAD_S)
 
-    def test_earlier_owner_is_no_sign_of_life_of_the_next(self):
+    def test_sign_of_life_of_an_earlier_owner_does_not_count(self):
         self.large.note_new_owner(10.1)
         self.assertFalse(self.large.is_owner_alive(10.2))
         self.assertFalse(self.large.is_owner_silent(20.0))
 
-    def test_offered_or_left_cell_is_claimed_at_once(self):
+    def test_offered_or_handed_over_cell_is_claimed_at_once(self):
         wait_s = self.large.compute_wait_s(10.2, is_offered=True)
         self.assertLessEqual(wait_s, candidacy.CLAIM_SPREAD_S)
         self.large.forget_owner()
         wait_s = self.large.compute_wait_s(10.2, is_offered=False)
         self.assertLessEqual(wait_s, candidacy.CLAIM_SPREAD_S)
 
-    def test_busy_owner_is_given_longer_but_not_for_ever(self):
+    def test_busy_owner_gets_a_longer_but_bounded_time(self):
         self.large.hear_owner(10.0, lag_s=0.1)
         self.assertTrue(self.large.is_owner_alive(10.6))
         self.assertTrue(self.large.is_owner_silent(10.7))
@@ -77,33 +78,33 @@
         longest_s = candidacy.OWNER_ALIVE_S + candidacy.MAX_LAG_ALLOWANCE_S
         self.assertTrue(self.large.is_owner_silent(10.0 + longest_s + 0.01))
 
-    def test_process_that_was_offered_the_cell_does_not_wait_for_its_turn(self):
+    def test_process_that_was_offered_the_cell_does_not_wait(self):
         self.assertEqual(self.small.compute_wait_s(10.2, is_offered=True), 0.0)
 
 
-class Series(unittest.TestCase):
-    """Processes are told to stop one after the other."""
+class RollingStop(unittest.TestCase):
+    """Tests claims during a rolling stop, when the owner's successor may stop next."""
 
     def setUp(self):
         self.early = candidacy.Candidacy("early", 1.0, started_at=0.0)
         self.restarted = candidacy.Candidacy("restarted", 1.0, started_at=99.0)
 
     def hear_stop(self):
-        """Let both hear of a stop."""
+        """Notify both processes that a peer was asked to stop."""
         for process in (self.early, self.restarted):
             process.hear_stop(100.0)
 
     def is_restarted_first(self, now):
-        """Whether the one that was restarted claims first, whatever the spread."""
+        """Whether the restarted process claims first by more than the spread."""
         early_s = self.early.compute_wait_s(now, is_offered=False)
         restarted_s = self.restarted.compute_wait_s(now, is_offered=False)
         return early_s > restarted_s + candidacy.CLAIM_SPREAD_S
 
-    def test_process_that_came_back_claims_first(self):
+    def test_restarted_process_claims_first(self):
         self.hear_stop()
         self.assertTrue(self.is_restarted_first(100.5))
 
-    def test_nobody_waits_while_nothing_changes(self):
+    def test_no_process_waits_outside_a_rolling_stop(self):
         self.assertFalse(self.is_restarted_first(100.5))
         self.hear_stop()
         self.assertFalse(self.is_restarted_first(100.0 + advising.CHANGE_WINDOW_S))
--- a/thornport/cell/peers/greeting_test.py
+++ b/thornport/cell/peers/greeting_test.py
@@ -1,4 +1,4 @@
-"""What the owner is told by greetings, and how often."""
+"""Tests the content and the timing of greetings to the owner."""
 
 import unittest
 from unittest import mock
@@ -14,8 +14,8 @@
 LISTS = 7
 
 
-class Greets(unittest.TestCase):
-    """A process that knows its peers, beside an owner."""
+class Greetings(unittest.TestCase):
+    """Tests a process that knows its peers and greets an owner."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -28,29 +28,29 @@
         self.set_owner(OWNER)
 
     def set_owner(self, owner):
-        """Have the key name an owner, or none."""
+        """Set the owner that the key names, or none."""
         self.daemon.holding.owner = owner
         self.daemon.owner_address = owner.address if owner else None
 
     def read_sent(self):
-        """Pairs of the address and the greeting that were sent since the last read."""
+        """Return the greetings sent since the last read, as pairs with the address."""
         sent = [call.args for call in self.daemon.bus.send.call_args_list]
         self.daemon.bus.send.reset_mock()
         return [(address, hello) for address, _, hello in sent]
 
     def greet(self):
-        """Greet once; returns the version of the lists that it says to know."""
+        """Greet once; returns the version of the lists that the greeting states."""
         self.greeting.greet()
         ((_, hello),) = self.read_sent()
         return hello.knows_version
 
-    def test_nobody_is_greeted_while_there_is_no_owner(self):
+    def test_no_greeting_is_sent_without_an_owner(self):
         self.set_owner(None)
         self.greeting.start()
         self.clock.advance(greeting.HELLO_PERIOD_S)
         self.assertEqual(self.read_sent(), [])
 
-    def test_owner_is_told_of_the_store_and_of_a_stop(self):
+    def test_greeting_states_store_stop_cores_and_uptime(self):
         self.daemon.store_state.has_answered_lately.return_value = False
         self.daemon.is_stopping = True
         self.clock.advance(3.0)
@@ -60,12 +60,12 @@
         self.assertEqual((hello.has_store, hello.is_stopping), (False, True))
         self.assertEqual((hello.cores, hello.up_s), (2.0, 3.0))
 
-    def test_lists_that_seem_known_are_asked_for_now_and_then(self):
+    def test_known_lists_are_requested_periodically(self):
         self.greeting.take_lists(OWNER.address, LISTS)
-        told = [self.greet() for _ in range(greeting.ASK_LISTS_EVERY)]
-        self.assertEqual(told, [LISTS] * (greeting.ASK_LISTS_EVERY - 1) + [0])
+        versions = [self.greet() for _ in range(greeting.ASK_LISTS_EVERY)]
+        self.assertEqual(versions, [LISTS] * (greeting.ASK_LISTS_EVERY - 1) + [0])
 
-    def test_lists_are_asked_for_by_one_that_has_nobody_to_relay(self):
+    def test_lists_are_requested_without_a_relaying_peer(self):
         self.greeting.take_lists(OWNER.address, LISTS)
         self.daemon.relayed.peer_addresses = ()
         self.assertEqual(self.greet(), 0)
@@ -82,12 +82,12 @@
         self.clock.pump(greeting.GREET_RETRY_DELAYS_S)
         self.assertEqual(self.read_sent(), [])
 
-    def test_silent_owner_is_greeted_again_only_so_often(self):
+    def test_silent_owner_is_greeted_a_bounded_number_of_times(self):
         self.greeting.greet_new_owner(OWNER)
         self.clock.pump([*greeting.GREET_RETRY_DELAYS_S, 1.0])
         self.assertEqual(len(self.read_sent()), len(greeting.GREET_RETRY_DELAYS_S))
 
-    def test_owner_that_was_replaced_meanwhile_is_let_be(self):
+    def test_replaced_owner_is_not_greeted_again(self):
         self.greeting.greet_new_owner(OWNER)
         self.set_owner(SUCCESSOR)
         self.read_sent()
--- a/thornport/cell/peers/liveness_test.py
+++ b/thornport/cell/peers/liveness_test.py
@@ -1,4 +1,4 @@
-"""What a process makes of the owners that the store names, and whom an owner tells."""
+"""Tests claims after changes of the owner, and to whom an owner sends heartbeats."""
 
 import unittest
 from unittest import mock
@@ -14,8 +14,8 @@
 LISTED = "10.0.0.3:1"
 
 
-class Met(unittest.TestCase):
-    """A process that learns who owns the cell."""
+class OwnerChange(unittest.TestCase):
+    """Tests a process that learns of the owners of the cell."""
 
     def setUp(self):
         self.now = 10.0
@@ -27,11 +27,11 @@
         self.liveness = liveness.Liveness(mock.Mock(), mock.Mock(), daemon)
 
     def is_waited_for(self):
-        """Whether a claim leaves the owner the first try."""
+        """Whether a claim leaves the first attempt to the owner."""
         wait_s = self.candidacy.compute_wait_s(self.now, is_offered=False)
         return wait_s >= candidacy.REGAIN_WAIT_S
 
-    def test_owner_whose_key_goes_at_once_is_waited_for(self):
+    def test_owner_whose_key_expires_at_once_is_waited_for(self):
         self.liveness.take_owner("", 0)
         self.assertFalse(self.is_waited_for())
         self.liveness.take_owner(OWNER, 6)
@@ -39,14 +39,14 @@
         self.liveness.take_owner("", 0)
         self.assertTrue(self.is_waited_for())
 
-    def test_owner_that_got_its_key_back_is_waited_for_again(self):
+    def test_owner_that_regained_its_key_is_waited_for_again(self):
         for revision in (6, 8):
             self.liveness.take_owner(OWNER, revision)
             self.now += 0.03
             self.liveness.take_owner("", 0)
             self.assertTrue(self.is_waited_for())
 
-    def test_owner_that_has_been_there_is_waited_for_only_if_it_is_heard(self):
+    def test_known_owner_is_waited_for_only_if_it_is_heard(self):
         self.liveness.take_owner(OWNER, 6)
         self.now += 1.0
         self.liveness.hear(OWNER)
@@ -55,8 +55,8 @@
         self.assertFalse(self.is_waited_for())
 
 
-class Told(unittest.TestCase):
-    """To whom an owner tells that it lives."""
+class Heartbeats(unittest.TestCase):
+    """Tests to whom an owner sends heartbeats."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -71,32 +71,33 @@
         ).callers
         liveness.Liveness(self.clock, self.bus, self.daemon).start()
 
-    def list_told(self):
-        """The addresses that are told next."""
+    def list_notified(self):
+        """Return the addresses that the next heartbeat is sent to."""
         self.clock.advance(candidacy.ALIVE_PERIOD_S)
         addresses, message = self.bus.send_to_all.call_args.args
         self.assertEqual(message, peering.Alive(0.0))
         return set(addresses)
 
-    def test_process_that_greeted_is_told_before_it_is_listed_here(self):
-        """The owner's own list is of its own last greeting, up to 0.5 s ago.
+    def test_heartbeat_reaches_a_greeter_before_it_is_listed(self):
+        """Guards against a vote by a joined process that is sent no heartbeat.
 
-        A process that joined did not hear the owner for 0.35 s and asked its peers.
+        The owner's own list dates from its own last greeting, up to 0.5 s ago. A joined
+        process did not hear the owner for 0.35 s and asked its peers.
         """
         self.callers.greet("owner", OWNER, True, 1.0, 0.0)
         self.callers.greet("joined", JOINED, True, 1.0, 0.0)
-        self.assertEqual(self.list_told(), {JOINED})
+        self.assertEqual(self.list_notified(), {JOINED})
 
-    def test_each_is_told_whatever_it_said_of_itself(self):
+    def test_heartbeat_reaches_stopping_processes_and_those_without_store(self):
         self.callers.greet("joined", JOINED, False, 1.0, 0.0)
         self.callers.greet("stops", "10.0.0.4:1", True, 1.0, 0.0, is_stopping=True)
-        self.assertEqual(self.list_told(), {JOINED, "10.0.0.4:1"})
+        self.assertEqual(self.list_notified(), {JOINED, "10.0.0.4:1"})
 
-    def test_process_that_an_earlier_owner_listed_is_told(self):
+    def test_heartbeat_reaches_a_process_listed_by_an_earlier_owner(self):
         self.daemon.peers.take([LISTED], 0.0)
-        self.assertEqual(self.list_told(), {LISTED})
+        self.assertEqual(self.list_notified(), {LISTED})
 
-    def test_only_an_owner_tells(self):
+    def test_only_an_owner_sends_heartbeats(self):
         self.daemon.session = None
         self.callers.greet("joined", JOINED, True, 1.0, 0.0)
         self.clock.advance(candidacy.ALIVE_PERIOD_S)
--- a/thornport/cell/peers/notifying_test.py
+++ b/thornport/cell/peers/notifying_test.py
@@ -1,4 +1,4 @@
-"""Word of a cancel reaches the owner, whatever is lost and whoever owns the cell."""
+"""Tests that notices of a cancellation reach the owner despite loss and takeover."""
 
 import types
 import unittest
@@ -9,34 +9,34 @@
 
 OWNER = "10.0.0.1:1"
 SUCCESSOR = "10.0.0.2:1"
-CANCEL_S = 3.0  # from the acknowledgement of a cancel on, the least of the users
-STOP_S = 0.25  # for the order to stop and its answer
+CANCEL_S = 3.0  # from the acknowledgement of a cancellation; the users' tightest limit
+STOP_S = 0.25  # for the stop command and its answer
 STEP_S = 0.01
 
 
 class Owners:
-    """The bus, and the owners at its other end, who answer at once.
+    """The bus, and the owners at its other end, which answer at once.
 
     Attributes:
-      lost: An int, how many messages are lost yet.
-      states_by_address: For each owner, a dict of the state that it shows by job ID.
-      told: Pairs of address and job ID of the cancels that came.
+      lost: An int, how many more messages are lost.
+      states_by_address: For each owner, a dict of the state that it reports by job ID.
+      notices: Pairs of address and job ID of the cancellations received.
     """
 
     def __init__(self, lost=0):
         self.lost = lost
         self.states_by_address = {OWNER: {"a": "running"}, SUCCESSOR: {}}
-        self.told = []
+        self.notices = []
         self.asker = None
 
     def send(self, address, sender, message):
-        """Take a message, unless it is lost."""
+        """Deliver a message, unless it is lost."""
         states = self.states_by_address.get(address)
         if self.lost or states is None:
             self.lost -= bool(self.lost)
             return
         if isinstance(message, peering.Kept):
-            self.told.append((address, message.job_id))
+            self.notices.append((address, message.job_id))
             if message.job_id in states:
                 states[message.job_id] = "cancelled"
         elif isinstance(message, peering.AskState):
@@ -44,8 +44,8 @@
             self.asker.take_answer(peering.StateIs(message.ask_id, state))
 
 
-class WordOfCancel(unittest.TestCase):
-    """A process that is not the owner has taken a cancel."""
+class CancelNotices(unittest.TestCase):
+    """Tests a process that has accepted a cancellation and is not the owner."""
 
     def setUp(self):
         self.reactor = task.Clock()
@@ -60,16 +60,16 @@
         self.notifier = notifying.PeerNotifier(self.reactor, self.daemon)
 
     def wait(self):
-        """Let the time pass in which the owner has to know."""
+        """Advance the clock by the time within which the owner must be notified."""
         self.reactor.pump([STEP_S] * int((CANCEL_S - STOP_S) / STEP_S))
 
-    def test_lost_word_is_sent_again(self):
+    def test_lost_notice_is_resent(self):
         self.owners.lost = 4
         self.notifier.notify_persisted("a", is_cancel=True)
         self.wait()
-        self.assertEqual(self.owners.told, [(OWNER, "a")])
+        self.assertEqual(self.owners.notices, [(OWNER, "a")])
 
-    def test_successor_is_told_once_it_knows_the_job(self):
+    def test_successor_that_knows_the_job_is_notified(self):
         self.daemon.owner_address = None
         self.notifier.notify_persisted("a", is_cancel=True)
         self.reactor.pump([STEP_S] * 100)
@@ -80,13 +80,13 @@
         states = self.owners.states_by_address[SUCCESSOR]
         self.assertEqual(states, {"a": "cancelled"})
 
-    def test_word_that_came_is_not_repeated(self):
+    def test_received_notice_is_not_repeated(self):
         self.notifier.notify_persisted("a", is_cancel=True)
         self.wait()
-        self.assertEqual(self.owners.told, [(OWNER, "a")])
+        self.assertEqual(self.owners.notices, [(OWNER, "a")])
         self.assertEqual(self.reactor.getDelayedCalls(), [])
 
-    def test_word_ends_though_no_owner_ever_shows_the_end(self):
+    def test_resending_ends_though_no_owner_reports_the_end(self):
         self.daemon.owner_address = None
         self.notifier.notify_persisted("a", is_cancel=True)
         self.reactor.pump([STEP_S] * 3000)
--- a/thornport/cell/peers/peering_test.py
+++ b/thornport/cell/peers/peering_test.py
@@ -1,4 +1,4 @@
-"""Every message between processes can be decoded, and is taken."""
+"""Tests that every message between processes can be decoded and has a handler."""
 
 import typing
 import unittest
@@ -8,7 +8,7 @@
 
 
 class Messages(unittest.TestCase):
-    """The messages between processes, one by one."""
+    """Tests each type of message between processes."""
 
     def setUp(self):
         self.kinds = {
@@ -20,7 +20,7 @@
     def test_each_can_be_decoded(self):
         self.assertEqual(set(typing.get_args(peering.AnyMessage)), self.kinds)
 
-    def test_each_is_taken(self):
+    def test_each_has_a_handler(self):
         unknown = receiving.take.dispatch(object)
         for kind in self.kinds:
             with self.subTest(kind=kind.__name__):
