--- a/thornport/cell/peers/liveness.py
+++ b/thornport/cell/peers/liveness.py
@@ -35,7 +35,10 @@
     def start(self):
         """Start sending and monitoring heartbeats."""
         tasks.call_periodically(
-            self._reactor, candidacy.ALIVE_PERIOD_S, self._send_heartbeats, "tell-alive"
+            self._reactor,
+            candidacy.ALIVE_PERIOD_S,
+            self._send_heartbeats,
+            "send-heartbeats",
         )
         tasks.call_periodically(
             self._reactor, CHECK_PERIOD_S, self._check, "check-owner"
--- a/thornport/cell/peers/notifying.py
+++ b/thornport/cell/peers/notifying.py
@@ -59,7 +59,7 @@
           is_cancel: A bool, whether the cancellation is persisted.
         """
         if is_cancel:
-            tasks.spawn(self._notify_cancel(job_id), "tell-cancel")
+            tasks.spawn(self._notify_cancel(job_id), "notify-cancel")
         else:
             self._notify_once(job_id, is_cancel)
 
--- a/thornport/cell/peers/receiving.py
+++ b/thornport/cell/peers/receiving.py
@@ -143,8 +143,8 @@
 def take_offer(message: peering.Offer, daemon, address):
     """Answer an owner that offers the cell.
 
-    It does so when it stops, when the store does not answer it, or when its VM is the
-    smaller one.
+    An owner offers the cell when it is stopping, when the store does not answer it, or
+    when its VM is the smaller one.
     """
     is_taken = daemon.take_offer(message.token, address)
     daemon.bus.send(address, "", peering.OfferAnswer(message.token, is_taken))
@@ -161,7 +161,7 @@
     """End an ownership that a successor has superseded, and confirm it to that one."""
     session = daemon.session
     if session is not None and session.core.token < message.token:
-        session.lose("a successor asks")
+        session.lose("a successor owns the cell")
     # The daemon drops a session that has lost the cell.
     if daemon.session is None:
         now = clock.read_monotonic()
--- a/thornport/cell/peers/relaying.py
+++ b/thornport/cell/peers/relaying.py
@@ -141,7 +141,7 @@
         direct = tasks.spawn(call(), "store-call")
         hedge_s = max(HEDGE_S, HEDGE_FACTOR * self._store.slowest_s)
         outcome = await self._wait_until(direct, hedge_s)
-        if is_known(outcome) or not self.peer_addresses:
+        if is_definite(outcome) or not self.peer_addresses:
             return outcome if outcome is not None else read_outcome(await direct)
         if outcome is None and progress is not None and progress.has_begun:
             return read_outcome(await direct)
@@ -168,13 +168,13 @@
         for running in (direct, relayed):
             running.addCallback(lambda outcome: answers.put(outcome) or outcome)
         first = read_outcome(await answers.get())
-        if is_known(first):
+        if is_definite(first):
             return first
         if not direct.called and self._store.is_unavailable():
             # The direct call is still open: the write may have been applied.
             return result.Failure(port.Ambiguous("the store has not answered yet"))
         second = read_outcome(await answers.get())
-        if is_known(second):
+        if is_definite(second):
             return second
         return first if is_ambiguous(first) else second
 
@@ -336,7 +336,7 @@
     return outcome
 
 
-def is_known(outcome):
+def is_definite(outcome):
     """Whether an outcome is definite: the call succeeded or a condition failed."""
     if outcome is None:
         return False
--- a/thornport/cell/peers/relaying_test.py
+++ b/thornport/cell/peers/relaying_test.py
@@ -277,7 +277,11 @@
         self.relayed._random.choice = lambda addresses: addresses[0]
 
     def test_value_is_waited_for_while_it_is_arriving(self):
-        """Guards against a timeout for the smaller value, which had it resent each time."""
+        """Guards against a timeout that is sized for the smaller value.
+
+        The call timed out before the larger value had arrived, so it was sent anew each
+        time.
+        """
         value = bytes(1_000_000)
         change = transactions.Change("op/x", value, 7)
         self.peers_store.watched = result.Success(transactions.Changes([change], 8))
