--- a/thornport/cell/configuring.py
+++ b/thornport/cell/configuring.py
@@ -17,13 +17,13 @@
 
 # A configuration of which nothing was told for so long may be out of date: a watch
 # waits for 2 s and is answered within 0.6 s more.
-CONFIRMED_S = 3.0
+MAX_CONFIRMED_AGE_S = 3.0
 # Between reads by way of a peer while the store does not tell, well below the 2 s in
 # which a version is to be in force.
-REFRESH_S = 0.5
+REFRESH_PERIOD_S = 0.5
 # After so long without word of the store a process reads by way of a peer, also when
 # other calls are answered: the watch has fallen silent, or its answers are lost.
-SILENT_S = 2.5
+WATCH_SILENT_S = 2.5
 
 
 class Denial(enum.Enum):
@@ -72,7 +72,7 @@
         )
         self._relayed.on_late = self._take_late
         tasks.call_periodically(
-            self._reactor, REFRESH_S, self._refresh, "refresh-config"
+            self._reactor, REFRESH_PERIOD_S, self._refresh, "refresh-config"
         )
 
     def _take(self, value, revision):
@@ -119,7 +119,7 @@
         if self._follower.is_retrying() and not is_unavailable:
             return
         age_s = self._follower.read_age_s()
-        is_told = age_s is not None and age_s < SILENT_S
+        is_told = age_s is not None and age_s < WATCH_SILENT_S
         if is_told and not is_unavailable:
             self._note_told(True)
             return
@@ -176,14 +176,14 @@
         return min(ages, default=None)
 
     def is_confirmed(self):
-        """Whether the configuration was confirmed within CONFIRMED_S.
+        """Whether the configuration was confirmed within MAX_CONFIRMED_AGE_S.
 
         It is not while an answer is coming, which holds a newer version.
         """
         if self._follower is not None and self._follower.is_receiving():
             return False
         age_s = self.read_age_s()
-        return age_s is not None and age_s < CONFIRMED_S
+        return age_s is not None and age_s < MAX_CONFIRMED_AGE_S
 
     def find_queue(self, host, path):
         """Find the queue of a request.
--- a/thornport/cell/configuring_test.py
+++ b/thornport/cell/configuring_test.py
@@ -87,16 +87,16 @@
         self.assertEqual(found, workspace.Caller(queue="open"))
 
     def test_wrong_key_is_no_certainty_where_nothing_was_told_lately(self):
-        self.age_s = configuring.CONFIRMED_S + 1
+        self.age_s = configuring.MAX_CONFIRMED_AGE_S + 1
         self.assertEqual(self.identify(b"k2"), configuring.Denial.UNCONFIRMED)
         self.assertEqual(self.identify(b"k1"), "press")
 
     def test_version_that_the_store_does_not_tell_comes_by_way_of_a_peer(self):
         """A process was turned away while keys were taken away, and let them in."""
         self.is_unavailable = True
-        self.age_s = configuring.CONFIRMED_S + 1
+        self.age_s = configuring.MAX_CONFIRMED_AGE_S + 1
         self.relayed_value = make_value(2, "k2")
-        self.clock.advance(configuring.REFRESH_S)
+        self.clock.advance(configuring.REFRESH_PERIOD_S)
         self.assertEqual(self.identify(b"k1"), configuring.Denial.UNKNOWN)
         self.assertEqual(self.identify(b"k2"), "press")
         self.assertEqual([kept.version for kept in self.taken], [1, 2])
@@ -104,23 +104,23 @@
     def test_older_version_of_a_peer_changes_nothing(self):
         self.told._take(make_value(5, "k5"), 5)
         self.is_unavailable = True
-        self.clock.advance(configuring.REFRESH_S)
+        self.clock.advance(configuring.REFRESH_PERIOD_S)
         self.assertEqual(self.identify(b"k5"), "press")
 
     def test_watch_that_is_silent_is_not_waited_for(self):
-        self.age_s = configuring.SILENT_S
+        self.age_s = configuring.WATCH_SILENT_S
         self.relayed_value = make_value(2, "k2")
-        self.clock.advance(configuring.REFRESH_S)
+        self.clock.advance(configuring.REFRESH_PERIOD_S)
         self.assertEqual(self.told.config.version, 2)
 
     def test_nothing_is_read_beside_an_answer_that_is_coming(self):
         """Each copy of a large configuration makes the others come later."""
-        self.age_s = configuring.SILENT_S
+        self.age_s = configuring.WATCH_SILENT_S
         self.is_receiving = True
-        self.clock.advance(configuring.REFRESH_S)
+        self.clock.advance(configuring.REFRESH_PERIOD_S)
         self.assertEqual(self.asked, [])
         self.is_receiving = False
-        self.clock.advance(configuring.REFRESH_S)
+        self.clock.advance(configuring.REFRESH_PERIOD_S)
         self.assertEqual(len(self.asked), 1)
 
     def test_answer_that_is_coming_leaves_no_certainty(self):
@@ -129,9 +129,9 @@
 
     def test_peer_is_asked_for_what_is_newer_than_known(self):
         self.is_unavailable = True
-        self.age_s = configuring.CONFIRMED_S + 1
+        self.age_s = configuring.MAX_CONFIRMED_AGE_S + 1
         self.relayed_value = None
-        self.clock.advance(configuring.REFRESH_S)
+        self.clock.advance(configuring.REFRESH_PERIOD_S)
         self.assertEqual(self.asked, [1])
         self.assertTrue(self.told.is_confirmed())
 
@@ -140,13 +140,13 @@
         self.is_unavailable = True
         self.follow.delivered_revision = 4
         self.relayed_value = None
-        self.clock.pump([configuring.REFRESH_S] * 2)
+        self.clock.pump([configuring.REFRESH_PERIOD_S] * 2)
         self.assertEqual(self.asked, [4, 8])
 
     def test_peer_that_cannot_read_confirms_nothing(self):
         self.is_unavailable = self.is_relay_away = True
-        self.age_s = configuring.CONFIRMED_S + 1
-        self.clock.advance(configuring.REFRESH_S)
+        self.age_s = configuring.MAX_CONFIRMED_AGE_S + 1
+        self.clock.advance(configuring.REFRESH_PERIOD_S)
         self.assertFalse(self.told.is_confirmed())
 
 
@@ -231,7 +231,7 @@
         change = transactions.Change(config.CONFIG_KEY, make_value(2, "k2"), 2)
         self.thaw(1.4, change)
         self.assertEqual(self.told.config.version, 2)
-        self.clock.advance(configuring.CONFIRMED_S - 1.4)
+        self.clock.advance(configuring.MAX_CONFIRMED_AGE_S - 1.4)
         self.assertFalse(self.told.is_confirmed())
 
     # The same where the answer has no change.
@@ -239,7 +239,7 @@
         wait_s = watching.WATCH_MS / clock.MS_PER_S
         self.thaw(wait_s + 0.5)
         self.assertTrue(self.told.is_confirmed())
-        self.clock.advance(configuring.CONFIRMED_S - 0.5)
+        self.clock.advance(configuring.MAX_CONFIRMED_AGE_S - 0.5)
         self.assertFalse(self.told.is_confirmed())
 
 
@@ -268,7 +268,7 @@
             follow.is_retrying.return_value = False
             follow.read_age_s.return_value = None
             told.start()
-        reactor.advance(configuring.REFRESH_S)
+        reactor.advance(configuring.REFRESH_PERIOD_S)
         (_, _, question), _ = bus.send.call_args
         reactor.pump([0.1] * 9)
         for key, version in (("op/other", 3), (config.CONFIG_KEY, 2)):
--- a/thornport/cell/daemon.py
+++ b/thornport/cell/daemon.py
@@ -27,10 +27,10 @@
 # An owner that stops gives the cell up so long before it would be killed: just before
 # the last answers, so that the end of its lease still reaches a slow store. Otherwise a
 # successor waits until the key lapses.
-GIVE_UP_S = serving.LAST_ANSWERS_S + 0.1
+RELEASE_MARGIN_S = serving.LAST_ANSWERS_S + 0.1
 # Likewise, while others stop too: until then it waits for a process that was restarted,
 # and after it a successor on a small VM has the time to read the records.
-HAND_OVER_S = GIVE_UP_S + 2.4
+HANDOVER_MARGIN_S = RELEASE_MARGIN_S + 2.4
 
 
 class SchedulerDaemon:
@@ -40,7 +40,7 @@
       settings, ports, bus, metrics: As they were given.
       configuring: The configuring.Configuring, which holds the configuration.
       is_stopping: Whether the process was told to stop.
-      hand_over_by: A float, until when it may wait for the best successor then.
+      handover_deadline: A float, until when it may wait for the best successor then.
       serving: The serving.Serving of callers.
       store_state: The storestate.StoreState.
       holding: The holding.Holding of the cell.
@@ -71,7 +71,7 @@
         self.bus = bus
         self.metrics = metrics
         self.is_stopping = False
-        self.hand_over_by = math.inf
+        self.handover_deadline = math.inf
         self.relayed = relaying.RelayedStore(reactor, ports.store, bus)
         told = notifying.PeerNotifier(reactor, self)
         job_intake = intake.Intake(reactor, self.relayed, metrics, told)
@@ -129,10 +129,10 @@
         logs.log("stopping", grace_s=grace_s)
         self.is_stopping = True
         end_at = clock.read_monotonic() + grace_s
-        self.hand_over_by = end_at - HAND_OVER_S
+        self.handover_deadline = end_at - HANDOVER_MARGIN_S
         # At once, so that it is offered nothing and given no calls for advice.
         self.greeting.greet()
-        self.holding.leave(end_at - GIVE_UP_S)
+        self.holding.leave(end_at - RELEASE_MARGIN_S)
         self.offering.offer()
         return tasks.spawn(self.serving.stop(end_at), "serve-out")
 
@@ -147,7 +147,7 @@
 
     def has_store(self):
         """Whether the store answers this process."""
-        return self.store_state.is_there()
+        return self.store_state.is_available()
 
     @property
     def config(self):
--- a/thornport/cell/owner/holding.py
+++ b/thornport/cell/owner/holding.py
@@ -87,7 +87,7 @@
             self.session is None
             and not self._daemon.is_stopping
             and self._daemon.config is not None
-            and self._daemon.store_state.has_answered_lately()
+            and self._daemon.store_state.has_answered_recently()
         )
 
     def take_offer(self, token, offered_by=""):
--- a/thornport/cell/owner/holding_test.py
+++ b/thornport/cell/owner/holding_test.py
@@ -110,7 +110,7 @@
         self.daemon.is_stopping = True
         self.assertFalse(self.holding.take_offer(TOKEN))
         self.daemon.is_stopping = False
-        self.daemon.store_state.has_answered_lately.return_value = False
+        self.daemon.store_state.has_answered_recently.return_value = False
         self.assertFalse(self.holding.take_offer(TOKEN))
         self.claimer.claim.assert_not_called()
 
--- a/thornport/cell/owner/offering.py
+++ b/thornport/cell/owner/offering.py
@@ -77,7 +77,7 @@
             return False
         now = clock.read_monotonic()
         is_rolling_restart = session.core.callers.has_recent_stop(now)
-        return is_rolling_restart and now < self._daemon.hand_over_by
+        return is_rolling_restart and now < self._daemon.handover_deadline
 
     def hand_over(self):
         """Offer the cell to a process on a much larger VM.
--- a/thornport/cell/owner/offering_test.py
+++ b/thornport/cell/owner/offering_test.py
@@ -22,7 +22,7 @@
         patched.start()
         self.addCleanup(patched.stop)
         # A process that stops hands over at once, unless a test sets a later deadline.
-        self.daemon = mock.Mock(is_stopping=False, hand_over_by=0.0)
+        self.daemon = mock.Mock(is_stopping=False, handover_deadline=0.0)
         self.daemon.lag.read_s.return_value = 0.0
         self.session = self.daemon.session
         self.session.began_at = -LONG_UP_S
@@ -64,7 +64,7 @@
     def setUp(self):
         super().setUp()
         self.daemon.is_stopping = True
-        self.daemon.hand_over_by = self.now + 3.0
+        self.daemon.handover_deadline = self.now + 3.0
         self.greet("stops", "10.0.0.9:1", 2.0, is_stopping=True)
 
     def test_owner_waits_for_a_restarted_process(self):
@@ -73,7 +73,7 @@
         self.assertEqual(self.read_offers(has_store=True), [(SECOND, 7)])
 
     def test_owner_waits_only_until_its_handover_deadline(self):
-        self.now = self.daemon.hand_over_by
+        self.now = self.daemon.handover_deadline
         self.greet("large", LARGE, 2.0)
         self.assertEqual(self.read_offers(has_store=True), [(LARGE, 7)])
 
@@ -82,7 +82,7 @@
 
     def test_owner_that_stops_alone_does_not_wait(self):
         self.now += advising.CHANGE_WINDOW_S
-        self.daemon.hand_over_by = self.now + 3.0
+        self.daemon.handover_deadline = self.now + 3.0
         self.greet("large", LARGE, 2.0)
         self.assertEqual(self.read_offers(has_store=True), [(LARGE, 7)])
 
--- a/thornport/cell/peers/greeting.py
+++ b/thornport/cell/peers/greeting.py
@@ -57,7 +57,7 @@
         process = self._daemon.settings.process
         hello = peering.Hello(
             process.name,
-            self._daemon.store_state.has_answered_lately(),
+            self._daemon.store_state.has_answered_recently(),
             self._cores,
             self._daemon.is_stopping,
             clock.read_monotonic() - self._started_at,
--- a/thornport/cell/peers/greeting_test.py
+++ b/thornport/cell/peers/greeting_test.py
@@ -51,7 +51,7 @@
         self.assertEqual(self.read_sent(), [])
 
     def test_greeting_states_store_stop_cores_and_uptime(self):
-        self.daemon.store_state.has_answered_lately.return_value = False
+        self.daemon.store_state.has_answered_recently.return_value = False
         self.daemon.is_stopping = True
         self.clock.advance(3.0)
         self.greeting.greet()
--- a/thornport/cell/serving.py
+++ b/thornport/cell/serving.py
@@ -13,7 +13,7 @@
 # that are open get their final answer, and when the process ends. In the first span
 # also a slow store tells what became of a job, in the second the answers leave, and the
 # end has room for timers that fire late.
-LAST_TAKEN_S = 1.0
+LAST_ACCEPT_S = 1.0
 LAST_ANSWERS_S = 0.5
 END_S = 0.3
 # An answer is on its way before its caller gives up; shorter than the intake's, which
@@ -23,7 +23,7 @@
 # share of what it leaves at most.
 ANSWER_MARGIN_SHARE = 0.5
 LATE_REASON = "no outcome in the time that is left"
-STOPS_REASON = "the process stops"
+STOPPING_REASON = "the process stops"
 
 
 class Serving:
@@ -58,7 +58,7 @@
           end_at: A float, when the process is killed.
         """
         self.open_requests.close_connections()
-        self._take_until = end_at - LAST_TAKEN_S
+        self._take_until = end_at - LAST_ACCEPT_S
         await self._sleep_until(end_at - LAST_ANSWERS_S)
         given_up = self.open_requests.end_waits()
         await self._sleep_until(end_at - END_S)
@@ -94,7 +94,7 @@
         """Whether what comes now can't be answered before the process ends."""
         is_over = clock.read_monotonic() >= self._take_until
         if is_over:
-            logs.log("turned-away", asked=asked, reason=STOPS_REASON)
+            logs.log("turned-away", asked=asked, reason=STOPPING_REASON)
         return is_over
 
     def submit(self, kept, deadline):
@@ -110,7 +110,9 @@
         if self._is_over(f"submit {job_id}"):
             # Another process may have kept it, at an earlier try; there is no time
             # to ask the store, and a refusal would say that it never runs.
-            return defer.succeed(intake.Unknown(STOPS_REASON, intake.ELSEWHERE_RETRY_S))
+            return defer.succeed(
+                intake.Unknown(STOPPING_REASON, intake.ELSEWHERE_RETRY_S)
+            )
         return self._answer(
             f"submit {job_id}",
             deadline,
@@ -129,7 +131,9 @@
           An awaitable of an outcome of intake.
         """
         if self._is_over(f"cancel {job_id}"):
-            return defer.succeed(intake.Refused(STOPS_REASON, intake.ELSEWHERE_RETRY_S))
+            return defer.succeed(
+                intake.Refused(STOPPING_REASON, intake.ELSEWHERE_RETRY_S)
+            )
         return self._answer(
             f"cancel {job_id}",
             deadline,
@@ -167,7 +171,7 @@
         """Wait for a coroutine that reads, unless the process is about to end."""
         if self._is_over(asked):
             reading_it.close()
-            return defer.succeed(fail(STOPS_REASON))
+            return defer.succeed(fail(STOPPING_REASON))
         return self._answer(asked, deadline, reading_it, lambda: fail(LATE_REASON))
 
     async def _read_state(self, job_id, caller):
--- a/thornport/cell/serving_test.py
+++ b/thornport/cell/serving_test.py
@@ -43,16 +43,16 @@
 
     def test_it_serves_for_most_of_its_grace(self):
         self.stop()
-        self.clock.advance(GRACE_S - serving.LAST_TAKEN_S - 0.1)
+        self.clock.advance(GRACE_S - serving.LAST_ACCEPT_S - 0.1)
         self.intake.submit.side_effect = lambda *_: defer.succeed(intake.Accepted())
         self.submit()
         self.assertEqual(self.given, [intake.Accepted()])
 
     def test_what_comes_too_late_is_turned_away_at_once(self):
         self.stop()
-        self.clock.advance(GRACE_S - serving.LAST_TAKEN_S)
+        self.clock.advance(GRACE_S - serving.LAST_ACCEPT_S)
         self.submit()
-        unknown = intake.Unknown(serving.STOPS_REASON, intake.ELSEWHERE_RETRY_S)
+        unknown = intake.Unknown(serving.STOPPING_REASON, intake.ELSEWHERE_RETRY_S)
         self.assertEqual(self.given, [unknown])
         self.intake.submit.assert_not_called()
         read = defer.ensureDeferred(
@@ -62,9 +62,9 @@
 
     def test_what_is_open_is_answered_before_the_end(self):
         self.stop()
-        self.clock.advance(GRACE_S - serving.LAST_TAKEN_S - 0.1)
+        self.clock.advance(GRACE_S - serving.LAST_ACCEPT_S - 0.1)
         self.submit()
-        self.clock.advance(serving.LAST_TAKEN_S - serving.LAST_ANSWERS_S + 0.1)
+        self.clock.advance(serving.LAST_ACCEPT_S - serving.LAST_ANSWERS_S + 0.1)
         self.assertIsInstance(self.given[0], intake.Unknown)
         self.assertFalse(self.ended)
         self.clock.advance(serving.LAST_ANSWERS_S - serving.END_S)
--- a/thornport/cell/storestate.py
+++ b/thornport/cell/storestate.py
@@ -9,7 +9,7 @@
 
 # What the owner is told of the store, and a claim, need an answer as recent as this;
 # each process asks three times a second.
-ANSWERED_S = 1.0
+RECENT_ANSWER_S = 1.0
 # Between looks whether the store answers; while it does not, the owner is greeted
 # each time, for the peers that it tells of are all that is left.
 STORE_CHECK_PERIOD_S = 0.2
@@ -18,20 +18,20 @@
 class StoreState:
     """Looks whether the store answers, and has it asked."""
 
-    def __init__(self, reactor, store, on_away):
+    def __init__(self, reactor, store, on_unavailable):
         """Take the store; nothing is asked yet.
 
         Args:
           reactor: Twisted's reactor.
           store: A health.CheckedStore.
-          on_away: A callable of no arguments, called at each look that finds the store
+          on_unavailable: A callable of no arguments, called at each look that finds the store
             away, and at the first that finds it back.
         """
         self._reactor = reactor
         self._store = store
-        self._on_away = on_away
+        self._on_away = on_unavailable
         self._prober = probing.Prober(reactor, store)
-        self._was_there = True
+        self._was_available = True
 
     def start(self):
         """Begin to ask and to look."""
@@ -40,16 +40,16 @@
             self._reactor, STORE_CHECK_PERIOD_S, self._check, "check-store"
         )
 
-    def is_there(self):
+    def is_available(self):
         """Whether the store answers this process."""
         return not self._store.is_unavailable()
 
-    def has_answered_lately(self):
+    def has_answered_recently(self):
         """Whether the store answers this process, and did a moment ago."""
-        return self._store.has_answered_within(ANSWERED_S)
+        return self._store.has_answered_within(RECENT_ANSWER_S)
 
     def _check(self):
-        is_there = self.is_there()
-        if not is_there or not self._was_there:
+        is_available = self.is_available()
+        if not is_available or not self._was_available:
             self._on_away()
-        self._was_there = is_there
+        self._was_available = is_available
--- a/thornport/cell/web.py
+++ b/thornport/cell/web.py
@@ -12,7 +12,7 @@
 from thornport.jobs import intake, record, spec, workspace
 from thornport.kernel import clock, webreply
 
-PATIENCE_S = 3.0  # for an answer to a call of this interface
+CALL_TIMEOUT_S = 3.0  # for an answer to a call of this interface
 MAX_ID_CHARS = 64  # a job's ID is part of keys, which have 200 bytes at most
 AUTHORIZATION_SCHEME = b"Bearer"
 ID_CHARS = frozenset("abcdefghijklmnopqrstuvwxyz0123456789-")
@@ -66,7 +66,7 @@
         queue = find_queue(daemon, name)
         if queue is None:
             return answer_no_queue(daemon, request, f"no queue {name}")
-        deadline = clock.read_monotonic() + PATIENCE_S
+        deadline = clock.read_monotonic() + CALL_TIMEOUT_S
         read = await daemon.serving.count_waiting(name, deadline)
         if isinstance(read, result.Failure):
             return webreply.refuse(request, 503, read.failure().reason)
@@ -93,7 +93,7 @@
             )
         now = clock.read_monotonic()
         kept = record.make_record(job_id, queue, job, identified.unwrap())
-        outcome = await daemon.serving.submit(kept, now + PATIENCE_S)
+        outcome = await daemon.serving.submit(kept, now + CALL_TIMEOUT_S)
         return answer_outcome(request, job_id, outcome, record.JobState.QUEUED)
 
 
@@ -104,7 +104,7 @@
     def list_jobs(request):
         core = daemon.get_core()
         if core is None:
-            return not_owner(request, daemon)
+            return answer_not_owner(request, daemon)
         text = request.args.get(b"state", [b""])[0].decode("latin-1")
         try:
             state = record.JobState(text) if text else None
@@ -122,18 +122,18 @@
         view = core and core.explain_job(job_id, clock.read_monotonic())
         if view:
             return webreply.answer(request, 200, view)
-        deadline = clock.read_monotonic() + PATIENCE_S
+        deadline = clock.read_monotonic() + CALL_TIMEOUT_S
         caller = workspace.OPERATOR
         read = await daemon.serving.read_state(job_id, caller, deadline)
         if isinstance(read, result.Failure):
             return webreply.refuse(request, 503, read.failure().reason)
         if read.unwrap() is None:
-            return no_job(request, job_id)
+            return answer_no_job(request, job_id)
         return webreply.answer(request, 200, StateView(job_id, read.unwrap()))
 
     @app.route("/v1/jobs/<job_id>", methods=["DELETE"])
     async def cancel(request, job_id):
-        deadline = clock.read_monotonic() + PATIENCE_S
+        deadline = clock.read_monotonic() + CALL_TIMEOUT_S
         outcome = await daemon.serving.cancel(job_id, workspace.OPERATOR, deadline)
         return answer_outcome(request, job_id, outcome, record.JobState.CANCELLED)
 
@@ -145,7 +145,7 @@
     def list_workspaces(request):
         core = daemon.get_core()
         if core is None:
-            return not_owner(request, daemon)
+            return answer_not_owner(request, daemon)
         return webreply.answer(request, 200, core.list_workspaces())
 
 
@@ -197,8 +197,8 @@
     if isinstance(outcome, intake.Accepted):
         return webreply.answer(request, 200, StateView(job_id, state))
     if isinstance(outcome, intake.NoSuchJob):
-        return no_job(request, job_id)
-    return answer_not_kept(request, outcome)
+        return answer_no_job(request, job_id)
+    return answer_not_accepted(request, outcome)
 
 
 def identify(daemon, request, queue):
@@ -233,10 +233,10 @@
             request.setHeader("WWW-Authenticate", scheme)
         problem = webreply.Problem("no key of a workspace")
         return webreply.answer(request, 401, problem)
-    return refuse_unconfirmed(request)
+    return answer_unconfirmed(request)
 
 
-def answer_not_kept(request, outcome):
+def answer_not_accepted(request, outcome):
     """Answer a call that was not kept, or of which that is not known.
 
     Args:
@@ -269,10 +269,10 @@
     """
     if daemon.configuring.is_confirmed():
         return webreply.answer(request, 404, webreply.Problem(problem))
-    return refuse_unconfirmed(request)
+    return answer_unconfirmed(request)
 
 
-def refuse_unconfirmed(request):
+def answer_unconfirmed(request):
     """Send a caller elsewhere: another process may know a newer version by now.
 
     Args:
@@ -284,7 +284,7 @@
     return webreply.refuse(request, 503, "the configuration may be out of date")
 
 
-def no_job(request, job_id):
+def answer_no_job(request, job_id):
     """Answer that there is no such job.
 
     Args:
@@ -296,7 +296,7 @@
     return webreply.answer(request, 404, webreply.Problem(f"no job {job_id}"))
 
 
-def not_owner(request, daemon):
+def answer_not_owner(request, daemon):
     """Answer who could tell.
 
     Args:
--- a/thornport/platform/ingress.py
+++ b/thornport/platform/ingress.py
@@ -102,7 +102,7 @@
     outcome = await daemon.serving.submit(kept, read_deadline(request, now))
     if isinstance(outcome, intake.Accepted):
         return webreply.answer(request, 200, WireState(record.JobState.QUEUED.value))
-    return web.answer_not_kept(request, outcome)
+    return web.answer_not_accepted(request, outcome)
 
 
 async def read_state(daemon, request, job_id, caller):
@@ -125,7 +125,7 @@
         return webreply.answer(request, 200, WireState(record.JobState.CANCELLED.value))
     if isinstance(outcome, intake.NoSuchJob):
         return webreply.answer(request, 410, webreply.Problem("no such job"))
-    return web.answer_not_kept(request, outcome)
+    return web.answer_not_accepted(request, outcome)
 
 
 async def count_waiting(daemon, request, queue):
