--- a/thornport/cell/storestate_test.py
+++ b/thornport/cell/storestate_test.py
@@ -1,4 +1,4 @@
-"""What a process makes of a store that answers, falls silent and answers again."""
+"""Tests of the tracking of a store that becomes unavailable and recovers."""
 
 import unittest
 from unittest import mock
@@ -8,8 +8,8 @@
 from thornport.cell import storestate
 
 
-class Looks(unittest.TestCase):
-    """Looks at a store while somebody is to be told that it is away."""
+class Checks(unittest.TestCase):
+    """Periodic checks with a callback for an unavailable store."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -19,25 +19,25 @@
         with mock.patch.object(self.state, "_prober"):
             self.state.start()
 
-    def look(self, is_unavailable):
-        """Let a look find the store away or not; returns whether it is told."""
+    def check(self, is_unavailable):
+        """Run one check; return whether the callback was called."""
         self.store.is_unavailable.return_value = is_unavailable
         self.on_unavailable.reset_mock()
         self.clock.advance(storestate.STORE_CHECK_PERIOD_S)
         return self.on_unavailable.called
 
-    def test_store_that_answers_is_not_told_of(self):
-        self.assertFalse(self.look(is_unavailable=False))
+    def test_available_store_is_not_reported(self):
+        self.assertFalse(self.check(is_unavailable=False))
         self.assertTrue(self.state.is_available())
 
-    def test_each_look_that_finds_it_away_and_the_first_that_does_not_are_told(self):
-        told = [
-            self.look(is_unavailable)
+    def test_each_check_of_an_outage_and_the_first_after_it_are_reported(self):
+        reported = [
+            self.check(is_unavailable)
             for is_unavailable in (False, True, True, False, False)
         ]
-        self.assertEqual(told, [False, True, True, True, False])
+        self.assertEqual(reported, [False, True, True, True, False])
 
-    def test_answer_of_long_ago_is_not_a_late_one(self):
+    def test_available_store_without_a_recent_answer_is_told_apart(self):
         self.store.is_unavailable.return_value = False
         self.store.has_answered_within.return_value = False
         self.assertTrue(self.state.is_available())
