--- a/thornport/jobs/intake.py
+++ b/thornport/jobs/intake.py
@@ -80,18 +80,18 @@
       value: Bytes, its record encoded.
     """
 
-    kept: record.JobRecord
+    job_record: record.JobRecord
     refuse_at: float
     give_up_at: float
     outcome: defer.Deferred
-    may_be_kept: bool = False
+    may_be_persisted: bool = False
     value: bytes = b""
 
 
 class Intake:
     """Writes submissions and cancels."""
 
-    def __init__(self, reactor, store, metrics, tell):
+    def __init__(self, reactor, store, metrics, notifier):
         """Begin.
 
         Args:
@@ -103,7 +103,7 @@
         self._reactor = reactor
         self._store = store
         self._metrics = metrics
-        self._tell = tell
+        self._notifier = notifier
         self._unresolved_until_by_id = {}
         self._open_count_by_id = collections.Counter()
         self._gathered = []
@@ -120,7 +120,7 @@
             del by_id[known_id]
         by_id[job_id] = now + UNRESOLVED_S
 
-    def submit(self, kept, deadline):
+    def submit(self, job_record, deadline):
         """Keep a job.
 
         Args:
@@ -129,16 +129,16 @@
         Returns:
           A Deferred of Accepted, Taken, Refused or Unknown.
         """
-        refuse_at = clock.read_monotonic() + compute_refuse_s(kept)
+        refuse_at = clock.read_monotonic() + compute_refuse_s(job_record)
         give_up_at = deadline - ANSWER_MARGIN_S
-        pending = Pending(kept, refuse_at, give_up_at, defer.Deferred())
-        pending.may_be_kept = self._may_be_kept(kept.job_id)
-        self._open_count_by_id[kept.job_id] += 1
-        if self._store.is_unavailable() and not pending.may_be_kept:
+        pending = Pending(job_record, refuse_at, give_up_at, defer.Deferred())
+        pending.may_be_persisted = self._may_be_persisted(job_record.job_id)
+        self._open_count_by_id[job_record.job_id] += 1
+        if self._store.is_unavailable() and not pending.may_be_persisted:
             self._settle(pending, self._refuse("the store is away"), "refused")
             return pending.outcome
-        pending.value = record.encode_record(kept)
-        self._tell.notify_incoming(pending.value)
+        pending.value = record.encode_record(job_record)
+        self._notifier.notify_incoming(pending.value)
         if not self._gathered:
             self._reactor.callLater(GATHER_S, self._flush)
         self._gathered.append(pending)
@@ -154,7 +154,7 @@
           An Unknown; no process refuses the job from now on.
         """
         self.note_unresolved(job_id)
-        self._tell.notify_unresolved(job_id)
+        self._notifier.notify_unresolved(job_id)
         return Unknown(reason, self._choose_retry_s())
 
     def _refuse(self, reason):
@@ -166,7 +166,7 @@
             return ELSEWHERE_RETRY_S
         return AGAIN_RETRY_S
 
-    def _may_be_kept(self, job_id):
+    def _may_be_persisted(self, job_id):
         """Whether an earlier try, which may be open still, may have kept a job."""
         return (
             job_id in self._unresolved_until_by_id or job_id in self._open_count_by_id
@@ -192,32 +192,32 @@
                 continue
             if isinstance(error, port.Ambiguous):
                 for pending in batch:
-                    pending.may_be_kept = True
+                    pending.may_be_persisted = True
             batch = [p for p in batch if not self._give_up(p, error, now)]
             await tasks.sleep(self._reactor, RETRY_S)
 
     def _settle_known(self, batch, error):
         """Settle the jobs that are in the store already; the others go on."""
-        left = []
+        remaining = []
         for pending in batch:
-            item = error.by_key.get(record.JOB_PREFIX + pending.kept.job_id)
+            item = error.by_key.get(record.JOB_PREFIX + pending.job_record.job_id)
             if item is None:
-                left.append(pending)
-            elif is_visible(item, workspace.name_submitter(pending.kept)):
+                remaining.append(pending)
+            elif is_visible(item, workspace.make_submitter(pending.job_record)):
                 self._settle(pending, Accepted(), "known")
             else:
                 self._settle(pending, Taken(), "taken")
-        return left
+        return remaining
 
     def _give_up(self, pending, error, now):
-        if pending.may_be_kept:
+        if pending.may_be_persisted:
             # Sending it again tells what became of it, unless the store is away.
-            patient_until = pending.refuse_at
+            resolve_until = pending.refuse_at
             if not self._store.is_unavailable():
-                patient_until += RESOLVE_S
-            if now < min(pending.give_up_at, patient_until):
+                resolve_until += RESOLVE_S
+            if now < min(pending.give_up_at, resolve_until):
                 return False
-            unknown = self.give_up(pending.kept.job_id, error.reason)
+            unknown = self.give_up(pending.job_record.job_id, error.reason)
             self._settle(pending, unknown, "unknown")
             return True
         if now < pending.refuse_at:
@@ -225,24 +225,24 @@
         self._settle(pending, self._refuse(error.reason), "refused")
         return True
 
-    def _settle(self, pending, outcome, what):
-        self._metrics.count(f"jobs.{what}")
-        kept = pending.kept
-        self._open_count_by_id[kept.job_id] -= 1
-        if not self._open_count_by_id[kept.job_id]:
-            del self._open_count_by_id[kept.job_id]
+    def _settle(self, pending, outcome, outcome_name):
+        self._metrics.count(f"jobs.{outcome_name}")
+        job_record = pending.job_record
+        self._open_count_by_id[job_record.job_id] -= 1
+        if not self._open_count_by_id[job_record.job_id]:
+            del self._open_count_by_id[job_record.job_id]
         logs.log(
             "job-submitted",
-            job=kept.job_id,
-            queue=kept.queue.name,
-            workspace=kept.workspace,
-            objective_ms=kept.compute_objective_ms(),
-            outcome=what,
+            job=job_record.job_id,
+            queue=job_record.queue.name,
+            workspace=job_record.workspace,
+            objective_ms=job_record.compute_objective_ms(),
+            outcome=outcome_name,
             reason=getattr(outcome, "reason", ""),
             retry_s=getattr(outcome, "retry_s", ""),
         )
         if isinstance(outcome, Accepted):
-            self._tell.notify_persisted(kept.job_id)
+            self._notifier.notify_persisted(job_record.job_id)
         pending.outcome.callback(outcome)
 
     async def cancel(self, job_id, caller, deadline):
@@ -255,11 +255,11 @@
         Returns:
           Accepted, NoSuchJob, Refused or Unknown.
         """
-        may_be_kept = False
+        may_be_persisted = False
         while True:
             outcome = await self._try_cancel(job_id, caller)
             if isinstance(outcome, Accepted):
-                self._tell.notify_persisted(job_id, is_cancel=True)
+                self._notifier.notify_persisted(job_id, is_cancel=True)
             if not isinstance(outcome, port.StoreError):
                 logs.log(
                     "job-cancelled",
@@ -268,9 +268,9 @@
                     outcome=type(outcome).__name__,
                 )
                 return outcome
-            may_be_kept = may_be_kept or isinstance(outcome, port.Ambiguous)
+            may_be_persisted = may_be_persisted or isinstance(outcome, port.Ambiguous)
             if clock.read_monotonic() >= deadline - ANSWER_MARGIN_S:
-                kind = Unknown if may_be_kept else Refused
+                kind = Unknown if may_be_persisted else Refused
                 logs.log("job-cancelled", job=job_id, outcome=kind.__name__)
                 return kind(outcome.reason, self._choose_retry_s())
             await tasks.sleep(self._reactor, RETRY_S)
@@ -312,7 +312,7 @@
         return True
 
 
-def compute_refuse_s(kept):
+def compute_refuse_s(job_record):
     """How long a job may wait for the store until it is refused.
 
     Args:
@@ -320,7 +320,7 @@
     Returns:
       A float, seconds.
     """
-    return min(MAX_REFUSE_S, REFUSE_SHARE * kept.compute_objective_ms() / 1000)
+    return min(MAX_REFUSE_S, REFUSE_SHARE * job_record.compute_objective_ms() / 1000)
 
 
 def make_transaction(batch):
@@ -331,7 +331,7 @@
     Returns:
       A transactions.Transaction.
     """
-    keys = [record.JOB_PREFIX + pending.kept.job_id for pending in batch]
+    keys = [record.JOB_PREFIX + pending.job_record.job_id for pending in batch]
     return transactions.Transaction(
         [transactions.Condition(key, transactions.ABSENT_REVISION) for key in keys],
         [
--- a/thornport/jobs/intake_test.py
+++ b/thornport/jobs/intake_test.py
@@ -47,9 +47,9 @@
         patched.start()
         self.addCleanup(patched.stop)
         self.store = FakeStore()
-        self.telling = mock.Mock(spec=intake.Notifier)
+        self.notifier = mock.Mock(spec=intake.Notifier)
         self.intake = intake.Intake(
-            self.clock, self.store, metrics.Metrics(), self.telling
+            self.clock, self.store, metrics.Metrics(), self.notifier
         )
 
     def make_record(self, job_id):
@@ -63,14 +63,14 @@
         Returns:
           A pair of the outcome and the seconds that it took.
         """
-        kept = self.make_record(job_id)
+        job_record = self.make_record(job_id)
         began_at = self.clock.seconds()
-        told = []
-        waiting = self.intake.submit(kept, began_at + DEADLINE_S)
-        waiting.addCallback(told.append)
-        while not told and self.clock.seconds() < began_at + DEADLINE_S:
+        results = []
+        waiting = self.intake.submit(job_record, began_at + DEADLINE_S)
+        waiting.addCallback(results.append)
+        while not results and self.clock.seconds() < began_at + DEADLINE_S:
             self.clock.advance(STEP_S)
-        return told[0], self.clock.seconds() - began_at
+        return results[0], self.clock.seconds() - began_at
 
 
 class CutOff(IntakeCase):
@@ -107,7 +107,7 @@
     def test_kept_job_is_accepted_and_told_of(self):
         self.store.outcomes = [result.Success(7)]
         self.assertIsInstance(self.submit()[0], intake.Accepted)
-        self.telling.notify_persisted.assert_called_once_with("a")
+        self.notifier.notify_persisted.assert_called_once_with("a")
 
     def test_job_that_is_there_is_accepted_again(self):
         item = transactions.Item(record.JOB_PREFIX + "a", b"", 3)
@@ -135,7 +135,7 @@
         # The same ID again, also while the store is away.
         self.store.away = True
         self.assertIsInstance(self.submit()[0], intake.Unknown)
-        self.telling.notify_unresolved.assert_called_with("a")
+        self.notifier.notify_unresolved.assert_called_with("a")
 
     def test_open_write_of_a_peer_is_not_refused_here(self):
         self.store.away = True
--- a/thornport/jobs/reading.py
+++ b/thornport/jobs/reading.py
@@ -35,12 +35,12 @@
     decoded = decode_item(read.unwrap(), record.decode_job)
     if isinstance(decoded, result.Failure):
         return decoded
-    kept = decoded.unwrap()
-    if not caller.may_see(kept):
+    job_record = decoded.unwrap()
+    if not caller.may_see(job_record):
         return result.Success(None)
-    if progress is not None and kept.end_state is None:
+    if progress is not None and job_record.end_state is None:
         return decode_item(progress, read_progress)
-    return result.Success(kept.end_state or record.JobState.QUEUED)
+    return result.Success(job_record.end_state or record.JobState.QUEUED)
 
 
 def read_progress(value):
@@ -83,14 +83,14 @@
     count = 0
     for item in read.unwrap()[0]:
         try:
-            kept = record.decode_job(item.value)
+            job_record = record.decode_job(item.value)
         except record.RecordError as error:
             logs.log("job-undecodable", key=item.key, reason=str(error))
             continue
         is_waiting = (
-            kept.job_id not in begun_ids
-            and not kept.job.repeats
-            and kept.end_state is None
+            job_record.job_id not in begun_ids
+            and not job_record.job.repeats
+            and job_record.end_state is None
         )
-        count += is_waiting and kept.queue.name == queue_name
+        count += is_waiting and job_record.queue.name == queue_name
     return result.Success(count)
--- a/thornport/jobs/reading_test.py
+++ b/thornport/jobs/reading_test.py
@@ -39,18 +39,18 @@
         self.store = FakeStore()
         step = spec.Step(1, spec.Demand(1000, 10, 0))
         for job_id in ("waits", "runs", "over"):
-            kept = record.JobRecord(job_id, QUEUE, spec.Job("text", (step,)), 0)
+            job_record = record.JobRecord(job_id, QUEUE, spec.Job("text", (step,)), 0)
             if job_id == "over":
-                kept = record.close_job(kept, record.JobState.FAILED)
-            self.store.put(record.JOB_PREFIX + job_id, kept)
+                job_record = record.close_job(job_record, record.JobState.FAILED)
+            self.store.put(record.JOB_PREFIX + job_id, job_record)
         running = record.Progress(record.JobState.RUNNING)
         self.store.put(record.PROGRESS_PREFIX + "runs", running)
 
     def read(self, coroutine):
         """Run a coroutine to its end; what it succeeded with."""
-        given = []
-        tasks.spawn(coroutine, "read").addCallback(given.append)
-        return given[0].unwrap()
+        results = []
+        tasks.spawn(coroutine, "read").addCallback(results.append)
+        return results[0].unwrap()
 
     def test_state_of_each(self):
         states = {
@@ -70,10 +70,10 @@
             self.store.by_key = {
                 prefix + "bad": transactions.Item(prefix + "bad", b"x", 1)
             }
-            given = []
+            results = []
             read = reading.read_state(self.store, "bad")
-            tasks.spawn(read, "read").addCallback(given.append)
-            self.assertIsInstance(given[0], result.Failure)
+            tasks.spawn(read, "read").addCallback(results.append)
+            self.assertIsInstance(results[0], result.Failure)
 
     def test_only_jobs_that_wait_are_counted(self):
         self.assertEqual(self.read(reading.count_waiting(self.store, "press")), 1)
--- a/thornport/jobs/record.py
+++ b/thornport/jobs/record.py
@@ -64,13 +64,13 @@
 
     def compute_objective_ms(self):
         """Compute within what time the job is in time, by its own estimates; an int."""
-        chain_ms = spec.compute_critical_path_ms(self.job)
-        return int(self.queue.target_ms + self.queue.stretch * chain_ms)
+        critical_path_ms = spec.compute_critical_path_ms(self.job)
+        return int(self.queue.target_ms + self.queue.stretch * critical_path_ms)
 
     def compute_slack_ms(self):
         """Compute how long it may wait in all and be in time, likewise; an int."""
-        chain_ms = spec.compute_critical_path_ms(self.job)
-        return max(0, self.compute_objective_ms() - chain_ms)
+        critical_path_ms = spec.compute_critical_path_ms(self.job)
+        return max(0, self.compute_objective_ms() - critical_path_ms)
 
 
 def make_record(job_id, of_queue, job, caller):
@@ -88,7 +88,7 @@
     return JobRecord(job_id, of_queue, job, now_ms, workspace=caller.workspace)
 
 
-def close_job(kept, state, cause=None):
+def close_job(job_record, state, cause=None):
     """Make what stands for a job that is over.
 
     Its ID stays known, and a successor need not read what it was.
@@ -100,15 +100,15 @@
     Returns:
       A JobRecord without steps.
     """
-    named = queue.Queue(kept.queue.name)
+    named = queue.Queue(job_record.queue.name)
     return JobRecord(
-        kept.job_id,
+        job_record.job_id,
         named,
         spec.Job(),
-        kept.accepted_at_ms,
+        job_record.accepted_at_ms,
         state,
         cause,
-        kept.workspace,
+        job_record.workspace,
     )
 
 
--- a/thornport/jobs/spec.py
+++ b/thornport/jobs/spec.py
@@ -67,7 +67,7 @@
         """
         return self.accelerators, self.millicores
 
-    def count_in(self, room, most):
+    def count_in(self, available, max_count):
         """Count how many times this fits into some room.
 
         Args:
@@ -77,20 +77,20 @@
           An int.
         """
         pairs = (
-            (self.millicores, room.millicores),
-            (self.memory_mb, room.memory_mb),
-            (self.accelerators, room.accelerators),
+            (self.millicores, available.millicores),
+            (self.memory_mb, available.memory_mb),
+            (self.accelerators, available.accelerators),
         )
-        if not self.fits(room):
+        if not self.fits(available):
             return 0
-        return min([most, *(whole // part for part, whole in pairs if part)])
+        return min([max_count, *(whole // part for part, whole in pairs if part)])
 
-    def fits(self, room):
+    def fits(self, available):
         """Tell whether this fits into some room, all resources at once."""
         return (
-            self.millicores <= room.millicores
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.millicores <= available.millicores
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
 
@@ -160,11 +160,11 @@
     Returns:
       An int, milliseconds by the job's own estimates.
     """
-    chain_ms_by_step = []
+    path_ms_by_step = []
     for step in job.steps:
-        before_ms = max((chain_ms_by_step[n] for n in step.after), default=0)
-        chain_ms_by_step.append(before_ms + step.estimate_ms)
-    return max(chain_ms_by_step, default=0)
+        before_ms = max((path_ms_by_step[n] for n in step.after), default=0)
+        path_ms_by_step.append(before_ms + step.estimate_ms)
+    return max(path_ms_by_step, default=0)
 
 
 class SpecError(Exception):
--- a/thornport/jobs/workspace.py
+++ b/thornport/jobs/workspace.py
@@ -111,7 +111,7 @@
     queue: str = ""
     sees_all: bool = False
 
-    def may_see(self, kept):
+    def may_see(self, job_record):
         """Tell whether a job is there for this caller.
 
         Args:
@@ -119,17 +119,17 @@
         Returns:
           A bool.
         """
-        if self.sees_all or not kept.workspace:
+        if self.sees_all or not job_record.workspace:
             return True
         if self.queue:
-            return kept.queue.name == self.queue
-        return kept.workspace == self.workspace
+            return job_record.queue.name == self.queue
+        return job_record.workspace == self.workspace
 
 
 OPERATOR = Caller(sees_all=True)
 
 
-def name_submitter(kept):
+def make_submitter(job_record):
     """Name for whom a job is handed in.
 
     Args:
@@ -137,7 +137,9 @@
     Returns:
       A Caller.
     """
-    return Caller(kept.workspace, "" if kept.workspace else kept.queue.name)
+    return Caller(
+        job_record.workspace, "" if job_record.workspace else job_record.queue.name
+    )
 
 
 def digest_key(key):
--- a/thornport/jobs/workspace_test.py
+++ b/thornport/jobs/workspace_test.py
@@ -16,7 +16,7 @@
     """Which workspace a key lets in."""
 
     def setUp(self):
-        self.found = workspace.Workspaces(
+        self.workspaces = workspace.Workspaces(
             [
                 workspace.Workspace("press", ("k1", "k2", "shared")),
                 workspace.Workspace("photo", ("k3", "shared")),
@@ -27,7 +27,7 @@
 
     def find(self, key):
         """The name of the workspace of a key, None if there is none."""
-        found = self.found.find_by_key(key)
+        found = self.workspaces.find_by_key(key)
         return found.name if found is not None else None
 
     def test_each_key_of_a_workspace_lets_it_in(self):
@@ -41,12 +41,12 @@
     def test_key_of_two_workspaces_lets_nobody_in_and_is_told_without_the_key(self):
         self.assertIsNone(self.find(b"shared"))
         self.assertIsNone(self.find(b"k4"))
-        places = [bad.place for bad in self.found.bad]
+        places = [bad.place for bad in self.workspaces.bad]
         self.assertEqual(places, ["photo", "photo"])
-        self.assertNotIn("shared", str(self.found.bad))
+        self.assertNotIn("shared", str(self.workspaces.bad))
 
     def test_workspace_without_keys_stays_known(self):
-        self.assertIn("archive", self.found.by_name)
+        self.assertIn("archive", self.workspaces.by_name)
 
 
 class Sees(unittest.TestCase):
