--- a/thornport/cell/daemon.py
+++ b/thornport/cell/daemon.py
@@ -1,9 +1,9 @@
-"""The scheduler process: takes jobs from callers, and may own the cell.
+"""The scheduler process: accepts jobs from callers and may own the cell.
 
-It only joins its parts, and says when they start and stop. Each has one duty:
-`configuring` the configuration, `serving` the callers, `storestate` whether the store
-answers, `owner.holding` the cell, `peers.greeting` and the others of `peers` the
-processes beside this one. They find one another here.
+The daemon connects its parts and starts and stops them. `configuring` follows the
+configuration, `serving` serves callers, `storestate` tracks the store's availability,
+`owner.holding` claims and holds the cell, and the modules of `peers` communicate with
+the other processes. The parts reach one another through the daemon.
 """
 
 import math
@@ -24,12 +24,13 @@
 from thornport.jobs import intake
 from thornport.kernel import clock, logs, looplag, tasks
 
-# An owner that stops gives the cell up so long before it would be killed: just before
-# the last answers, so that the end of its lease still reaches a slow store. Otherwise a
-# successor waits until the key lapses.
+# A stopping owner releases the cell this long before it would be killed: just before
+# the last answers, so that the release still reaches a slow store. Otherwise a
+# successor waits until the key expires.
 RELEASE_MARGIN_S = serving.LAST_ANSWERS_S + 0.1
-# Likewise, while others stop too: until then it waits for a process that was restarted,
-# and after it a successor on a small VM has the time to read the records.
+# While other processes stop too, an owner waits for a restarted successor until this
+# long before it would be killed; a successor on a small VM then still has the time to
+# read the records.
 HANDOVER_MARGIN_S = RELEASE_MARGIN_S + 2.4
 
 
@@ -37,10 +38,11 @@
     """One scheduler process.
 
     Attributes:
-      settings, ports, bus, metrics: As they were given.
+      settings, ports, bus, metrics: The arguments of the constructor.
       configuring: The configuring.Configuring, which holds the configuration.
-      is_stopping: Whether the process was told to stop.
-      handover_deadline: A float, until when it may wait for the best successor then.
+      is_stopping: Whether the process is stopping.
+      handover_deadline: A float, until when a stopping owner may wait for the best
+        successor.
       serving: The serving.Serving of callers.
       store_state: The storestate.StoreState.
       holding: The holding.Holding of the cell.
@@ -56,7 +58,7 @@
     """
 
     def __init__(self, reactor, settings, ports, bus, metrics):
-        """Make the parts; nothing is opened yet.
+        """Create the parts without opening anything.
 
         Args:
           reactor: Twisted's reactor.
@@ -73,8 +75,8 @@
         self.is_stopping = False
         self.handover_deadline = math.inf
         self.relayed = relaying.RelayedStore(reactor, ports.store, bus)
-        told = notifying.PeerNotifier(reactor, self)
-        job_intake = intake.Intake(reactor, self.relayed, metrics, told)
+        peer_notifier = notifying.PeerNotifier(reactor, self)
+        job_intake = intake.Intake(reactor, self.relayed, metrics, peer_notifier)
         self.serving = serving.Serving(reactor, self, job_intake)
         self._make_peer_parts(reactor)
         self.holding = holding.Holding(reactor, self, metrics)
@@ -86,7 +88,7 @@
         )
 
     def _make_peer_parts(self, reactor):
-        """Make what follows and tells the other processes."""
+        """Create the parts that communicate with the other processes."""
         process = self.settings.process
         cores = process.cpu_share * process.cores
         started_at = clock.read_monotonic()
@@ -102,7 +104,7 @@
         self.lag = looplag.LagMeter(reactor)
 
     def start(self):
-        """Open the socket for messages and begin to follow the store."""
+        """Open the socket for messages and start all parts."""
         listen = self.settings.listen
         self.bus.bind(listen.ip, listen.peer_port)
         self.bus.start(self.settings.process.name, self._take_message)
@@ -117,10 +119,11 @@
         logs.log("started", peer=self.bus.address, **describe(self.settings))
 
     def stop(self):
-        """Stop in the planned way: hand the cell over, serve what comes.
+        """Stop in the planned way: hand the cell over and serve until the end.
 
-        An owner, or a process that is becoming it, goes on until another has the key:
-        in a series of stops its peers may be stopping too, and nobody would decide.
+        An owner, or a process that is becoming it, continues until another has the
+        key: in a rolling restart its peers may be stopping too, and the cell would
+        have no owner.
 
         Returns:
           A Deferred that fires when the process may end.
@@ -130,7 +133,7 @@
         self.is_stopping = True
         end_at = clock.read_monotonic() + grace_s
         self.handover_deadline = end_at - HANDOVER_MARGIN_S
-        # At once, so that it is offered nothing and given no calls for advice.
+        # Greeting at once keeps offers and calls for advice away from this process.
         self.greeting.greet()
         self.holding.leave(end_at - RELEASE_MARGIN_S)
         self.offering.offer()
@@ -139,10 +142,10 @@
     def _take_message(self, sender, address, message):
         receiving.take(message, self, address)
 
-    # What the parts ask of one another.
+    # State that the parts read from one another.
 
     def is_ready(self):
-        """Whether callers are to be sent here."""
+        """Whether the balancer should send callers here."""
         return self.config is not None and not self.is_stopping and self.has_store()
 
     def has_store(self):
@@ -151,33 +154,33 @@
 
     @property
     def config(self):
-        """The queue.Config in force, None before the first."""
+        """The queue.Config in force; None before the first."""
         return self.configuring.config
 
     @property
     def owner_name(self):
-        """The name of the process that owns the cell, empty if nobody does."""
+        """The name of the process that owns the cell; empty if there is no owner."""
         owner = self.holding.owner
         return owner.name if owner is not None else ""
 
     @property
     def owner_address(self):
-        """Where the owner takes messages, a str; None if nobody owns the cell."""
+        """The address of the owner's message bus, a str; None if there is no owner."""
         owner = self.holding.owner
         return owner.address if owner is not None else None
 
     @property
     def session(self):
-        """The owner.OwnerSession of this process, None while it is not the owner."""
+        """The owner.OwnerSession of this process; None while it is not the owner."""
         return self.holding.session
 
     @property
     def known_lapses(self):
-        """The lapses.Lapses of the last ownership of this process that is over."""
+        """The lapses.Lapses of this process's previous ownership."""
         return self.holding.known_lapses
 
     def get_core(self):
-        """The core of the cell if this process decides, else None."""
+        """Return the core of the cell if this process owns it, else None."""
         return self.holding.get_core()
 
     def may_claim(self):
@@ -190,7 +193,7 @@
 
 
 def describe(settings):
-    """The settings that a start logs, as a dict for the log alone."""
+    """Return the settings that the `started` event logs, as a dict."""
     return {
         "hall": settings.process.hall,
         "jobs": settings.listen.jobs,
--- a/thornport/cell/serving.py
+++ b/thornport/cell/serving.py
@@ -1,4 +1,4 @@
-"""What callers ask of a scheduler process: each is answered in time, to its end."""
+"""Serves the requests of callers in time, also while the process is stopping."""
 
 import math
 
@@ -9,25 +9,25 @@
 from thornport.kernel import clock, draining, logs, tasks
 from thornport.store import port
 
-# Of the grace time, before its end: from when no request is taken any more, when those
-# that are open get their final answer, and when the process ends. In the first span
-# also a slow store tells what became of a job, in the second the answers leave, and the
-# end has room for timers that fire late.
+# Before the end of the grace period: when new requests are refused, when open requests
+# get their final answer, and when the process ends. Between the first two a slow store
+# can still report the outcome of a job; between the last two the answers are sent. The
+# last span leaves time for timers that fire late.
 LAST_ACCEPT_S = 1.0
 LAST_ANSWERS_S = 0.5
 END_S = 0.3
-# An answer is on its way before its caller gives up; shorter than the intake's, which
-# says more where it is not waiting for the store.
+# An answer is sent this long before its caller gives up; shorter than the margin of the
+# intake, whose answer says more when it is not waiting for the store.
 ANSWER_MARGIN_S = 0.1
-# A caller that tries again near its deadline leaves less than that; the margin is this
-# share of what it leaves at most.
+# A caller that retries near its deadline leaves less time than that; the margin is at
+# most this share of the remaining time.
 ANSWER_MARGIN_SHARE = 0.5
-LATE_REASON = "no outcome in the time that is left"
-STOPPING_REASON = "the process stops"
+LATE_REASON = "no outcome before the deadline"
+STOPPING_REASON = "the process is stopping"
 
 
 class Serving:
-    """Serves callers.
+    """Serves the requests of callers.
 
     Attributes:
       intake: The intake.Intake of jobs and cancels.
@@ -35,7 +35,7 @@
     """
 
     def __init__(self, reactor, daemon, job_intake):
-        """Take what is asked.
+        """Create a server of requests for a daemon.
 
         Args:
           reactor: Twisted's reactor.
@@ -46,19 +46,19 @@
         self._daemon = daemon
         self.intake = job_intake
         self.open_requests = draining.OpenRequests()
-        self._take_until = math.inf
+        self._accept_until = math.inf
 
     async def stop(self, end_at):
-        """Serve until shortly before the process is killed, and cut nothing.
+        """Serve until shortly before the process is killed, without cutting requests.
 
-        It stays until then though nothing is open: callers go on using their
-        connections, and whoever comes is told where to turn.
+        The process stays even if no request is open: callers still use their
+        connections, and new requests are answered with where to retry.
 
         Args:
           end_at: A float, when the process is killed.
         """
         self.open_requests.close_connections()
-        self._take_until = end_at - LAST_ACCEPT_S
+        self._accept_until = end_at - LAST_ACCEPT_S
         await self._sleep_until(end_at - LAST_ANSWERS_S)
         given_up = self.open_requests.end_waits()
         await self._sleep_until(end_at - END_S)
@@ -69,13 +69,13 @@
         return tasks.sleep(self._reactor, max(0.0, at - clock.read_monotonic()))
 
     def _answer(self, asked, deadline, running, make_late):
-        """Wait for an outcome until its caller, or the process, can't wait longer.
+        """Wait for an outcome until its caller or the process must have an answer.
 
         Args:
-          asked: A str for the log, what was asked.
+          asked: A str for the log, the request.
           deadline: A float, when the caller gives up.
           running: A coroutine or Deferred giving the outcome.
-          make_late: A callable giving the outcome to tell when there is none yet.
+          make_late: A callable giving the outcome to return if there is none in time.
         Returns:
           An awaitable of the outcome.
         """
@@ -90,38 +90,38 @@
             self._reactor, running, left_s - margin_s, give_up
         )
 
-    def _is_over(self, asked):
-        """Whether what comes now can't be answered before the process ends."""
-        is_over = clock.read_monotonic() >= self._take_until
-        if is_over:
+    def _is_too_late(self, asked):
+        """Whether a new request can no longer be answered before the process ends."""
+        is_too_late = clock.read_monotonic() >= self._accept_until
+        if is_too_late:
             logs.log("turned-away", asked=asked, reason=STOPPING_REASON)
-        return is_over
+        return is_too_late
 
-    def submit(self, kept, deadline):
-        """Keep a job.
+    def submit(self, job_record, deadline):
+        """Submit a job.
 
         Args:
-          kept: A record.JobRecord.
+          job_record: A record.JobRecord.
           deadline: A float, when its caller gives up.
         Returns:
           An awaitable of an outcome of intake.
         """
-        job_id = kept.job_id
-        if self._is_over(f"submit {job_id}"):
-            # Another process may have kept it, at an earlier try; there is no time
-            # to ask the store, and a refusal would say that it never runs.
+        job_id = job_record.job_id
+        if self._is_too_late(f"submit {job_id}"):
+            # Another process may have persisted the job at an earlier try. There is
+            # no time to ask the store, and a refusal would mean that it never runs.
             return defer.succeed(
                 intake.Unknown(STOPPING_REASON, intake.ELSEWHERE_RETRY_S)
             )
         return self._answer(
             f"submit {job_id}",
             deadline,
-            self.intake.submit(kept, deadline),
+            self.intake.submit(job_record, deadline),
             lambda: self.intake.give_up(job_id, LATE_REASON),
         )
 
     def cancel(self, job_id, caller, deadline):
-        """Keep a cancel.
+        """Cancel a job.
 
         Args:
           job_id: A str.
@@ -130,7 +130,7 @@
         Returns:
           An awaitable of an outcome of intake.
         """
-        if self._is_over(f"cancel {job_id}"):
+        if self._is_too_late(f"cancel {job_id}"):
             return defer.succeed(
                 intake.Refused(STOPPING_REASON, intake.ELSEWHERE_RETRY_S)
             )
@@ -142,7 +142,7 @@
         )
 
     def read_state(self, job_id, caller, deadline):
-        """Read the state of a job: from the owner, else from the store.
+        """Read the state of a job from the owner, or else from the store.
 
         Args:
           job_id: A str.
@@ -167,12 +167,12 @@
         counting = self._count_waiting(queue_name)
         return self._read(f"waiting {queue_name}", deadline, counting)
 
-    def _read(self, asked, deadline, reading_it):
-        """Wait for a coroutine that reads, unless the process is about to end."""
-        if self._is_over(asked):
-            reading_it.close()
+    def _read(self, asked, deadline, coroutine):
+        """Wait for a coroutine that reads; fail at once if the process is ending."""
+        if self._is_too_late(asked):
+            coroutine.close()
             return defer.succeed(fail(STOPPING_REASON))
-        return self._answer(asked, deadline, reading_it, lambda: fail(LATE_REASON))
+        return self._answer(asked, deadline, coroutine, lambda: fail(LATE_REASON))
 
     async def _read_state(self, job_id, caller):
         core = self._daemon.get_core()
@@ -199,5 +199,5 @@
 
 
 def fail(reason):
-    """Make the outcome of a read that has none."""
+    """Return the Result of a read that failed."""
     return result.Failure(port.Unavailable(reason))
--- a/thornport/cell/serving_test.py
+++ b/thornport/cell/serving_test.py
@@ -1,4 +1,4 @@
-"""What callers are told by a process that stops, in simulated time."""
+"""Tests of the answers of a stopping process, in simulated time."""
 
 import unittest
 from unittest import mock
@@ -11,11 +11,11 @@
 from thornport.kernel import clock, tasks
 
 GRACE_S = 6.0
-LAST_WAY_S = 0.25  # timers fire late, and the end of a process takes time
+EXIT_MARGIN_S = 0.25  # timers fire late, and the exit of a process takes time
 
 
 class Stopping(unittest.TestCase):
-    """A process that is told to stop."""
+    """A process that stops with a grace period."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -31,24 +31,24 @@
         self.given = []
 
     def stop(self):
-        """Tell the process to stop."""
+        """Begin to stop the process."""
         stopping = self.serving.stop(self.clock.seconds() + GRACE_S)
         tasks.spawn(stopping, "stop").addCallback(self.ended.append)
 
     def submit(self, wait_s=3.0):
-        """Hand in a job whose caller waits for so long."""
+        """Submit a job whose caller waits `wait_s`."""
         kept = mock.Mock(spec=record.JobRecord, job_id="a")
         asked = self.serving.submit(kept, self.clock.seconds() + wait_s)
         defer.ensureDeferred(asked).addCallback(self.given.append)
 
-    def test_it_serves_for_most_of_its_grace(self):
+    def test_process_serves_for_most_of_its_grace_period(self):
         self.stop()
         self.clock.advance(GRACE_S - serving.LAST_ACCEPT_S - 0.1)
         self.intake.submit.side_effect = lambda *_: defer.succeed(intake.Accepted())
         self.submit()
         self.assertEqual(self.given, [intake.Accepted()])
 
-    def test_what_comes_too_late_is_turned_away_at_once(self):
+    def test_requests_too_late_to_be_answered_are_refused_at_once(self):
         self.stop()
         self.clock.advance(GRACE_S - serving.LAST_ACCEPT_S)
         self.submit()
@@ -60,7 +60,7 @@
         )
         self.assertIsInstance(self.read_result(read), result.Failure)
 
-    def test_what_is_open_is_answered_before_the_end(self):
+    def test_open_requests_are_answered_before_the_end(self):
         self.stop()
         self.clock.advance(GRACE_S - serving.LAST_ACCEPT_S - 0.1)
         self.submit()
@@ -75,8 +75,8 @@
         self.clock.advance(3.0 - serving.ANSWER_MARGIN_S)
         self.assertIsInstance(self.given[0], intake.Unknown)
 
-    def test_caller_with_little_time_gets_the_outcome_that_is_there(self):
-        """A caller that tries again near its deadline leaves less than the margin."""
+    def test_caller_near_its_deadline_gets_an_outcome_that_is_known(self):
+        """A caller that retries near its deadline leaves less than the margin."""
 
         def keep(*_):
             kept = defer.Deferred()
@@ -110,7 +110,7 @@
         late = serving.fail(serving.LATE_REASON)
         self.assertEqual(self.given, [late, late])
 
-    def test_peers_are_told_of_a_job_without_an_outcome(self):
+    def test_intake_gives_up_a_job_without_an_outcome(self):
         self.submit()
         self.clock.advance(3.0 - serving.ANSWER_MARGIN_S)
         self.intake.give_up.assert_called_once_with("a", serving.LATE_REASON)
@@ -119,11 +119,11 @@
         self.stop()
         self.clock.advance(GRACE_S - serving.LAST_ANSWERS_S)
         self.assertFalse(self.ended)
-        self.clock.advance(serving.LAST_ANSWERS_S - LAST_WAY_S)
+        self.clock.advance(serving.LAST_ANSWERS_S - EXIT_MARGIN_S)
         self.assertTrue(self.ended)
 
     def read_result(self, deferred):
-        """The outcome of a Deferred that has fired."""
+        """Return the outcome of a Deferred that has fired."""
         given = []
         deferred.addCallback(given.append)
         return given[0]
