--- a/thornport/cell/__init__.py
+++ b/thornport/cell/__init__.py
@@ -1,1 +1,1 @@
-"""A cell: workers whose tasks one owner decides on, and how it decides."""
+"""A cell: a set of workers whose tasks are scheduled by one owner process."""
--- a/thornport/cell/configuring.py
+++ b/thornport/cell/configuring.py
@@ -1,9 +1,8 @@
-"""The configuration in force at a process, and what callers are checked against.
+"""Follows the configuration of the cell and checks callers against it.
 
-The store tells each new version by a watch. A process that it does not tell, because it
-turns the process away or because the watch fell silent, reads the newest by way of a
-peer: a key that was taken away must let nobody in there either, and a key, a queue or a
-limit that came must count.
+A watch of the store delivers each new version. When the store refuses the process or
+the watch falls silent, the process reads the newest version through a peer: a revoked
+key must be refused here too, and a new key, queue or limit must take effect.
 """
 
 import enum
@@ -15,21 +14,21 @@
 from thornport.kernel import clock, logs, tasks
 from thornport.store import transactions, watching
 
-# A configuration of which nothing was told for so long may be out of date: a watch
-# waits for 2 s and is answered within 0.6 s more.
+# A configuration that was not confirmed for this long may be out of date: a watch waits
+# for 2 s and is answered within 0.6 s more.
 MAX_CONFIRMED_AGE_S = 3.0
-# Between reads by way of a peer while the store does not tell, well below the 2 s in
-# which a version is to be in force.
+# Between reads through a peer while the watch delivers nothing, well below the 2 s in
+# which a version must be in force.
 REFRESH_PERIOD_S = 0.5
-# After so long without word of the store a process reads by way of a peer, also when
-# other calls are answered: the watch has fallen silent, or its answers are lost.
+# A process reads through a peer after this long without an answer to the watch, even if
+# the store answers other calls: the watch is stuck, or its answers are lost.
 WATCH_SILENT_S = 2.5
 
 
 class Denial(enum.Enum):
-    """Why a caller is not let in.
+    """Why a caller is denied.
 
-    UNKNOWN: its key is in no workspace of the configuration in force.
+    UNKNOWN: no workspace of the configuration in force has the caller's key.
     UNCONFIRMED: likewise, but the configuration may be out of date.
     """
 
@@ -38,14 +37,14 @@
 
 
 class Configuring:
-    """Follows the configuration.
+    """Follows the configuration and identifies callers by it.
 
     Attributes:
-      config: The queue.Config in force, None before the first.
+      config: The queue.Config in force; None before the first.
     """
 
     def __init__(self, reactor, ports, relayed, on_new):
-        """Take what is needed; nothing is read yet.
+        """Create a follower; nothing is read before `start`.
 
         Args:
           reactor: Twisted's reactor.
@@ -61,24 +60,24 @@
         self._follower = None
         self._relayed_at = None
         self._is_reading = False
-        self._is_told = True
-        # Of the store, until which a peer, or the value taken last, told of changes.
-        self._known_to = transactions.ABSENT_REVISION
+        self._is_watch_ok = True
+        # The store's revision up to which a peer or the last value covers all changes.
+        self._known_revision = transactions.ABSENT_REVISION
 
     def start(self):
-        """Begin to follow the store."""
+        """Start the watch and the reads through peers."""
         self._follower = watching.follow_key(
-            self._reactor, self._ports.store, self._ports.config_key, self._take
+            self._reactor, self._ports.store, self._ports.config_key, self._apply
         )
-        self._relayed.on_late = self._take_late
+        self._relayed.on_late = self._apply_late
         tasks.call_periodically(
             self._reactor, REFRESH_PERIOD_S, self._refresh, "refresh-config"
         )
 
-    def _take(self, value, revision):
+    def _apply(self, value, revision):
         if value is None:
             return
-        self._known_to = max(self._known_to, revision)
+        self._known_revision = max(self._known_revision, revision)
         try:
             config = self._ports.decode_config(value)
         except self._ports.decode_errors as error:
@@ -104,14 +103,14 @@
             )
         self._on_new(config)
 
-    # By way of a peer.
+    # Reads through a peer.
 
     def _refresh(self):
-        """Read by way of a peer if the store does not tell us.
+        """Read through a peer if the watch is silent or the store is unavailable.
 
-        While an answer of the store is coming nothing is read beside it: a large
-        configuration over a slow link would come later for each copy of it. Nor while
-        one that broke off is asked for again, unless the store turns us away.
+        Nothing is read while an answer of the store is being received: over a slow link
+        each further copy of a large configuration delays the others. The same holds
+        while a broken watch is retried, unless the store is unavailable.
         """
         if self._is_reading or self._follower.is_receiving():
             return
@@ -119,54 +118,54 @@
         if self._follower.is_retrying() and not is_unavailable:
             return
         age_s = self._follower.read_age_s()
-        is_told = age_s is not None and age_s < WATCH_SILENT_S
-        if is_told and not is_unavailable:
-            self._note_told(True)
+        is_watch_ok = age_s is not None and age_s < WATCH_SILENT_S
+        if is_watch_ok and not is_unavailable:
+            self._note_watch(True)
             return
-        self._note_told(False)
+        self._note_watch(False)
         self._is_reading = True
-        tasks.spawn(self._read_by_peer(), "read-config")
+        tasks.spawn(self._read_through_peer(), "read-config")
 
-    def _note_told(self, is_told):
-        """Log when the store ceases, or begins again, to tell of the configuration."""
-        if is_told == self._is_told:
+    def _note_watch(self, is_watch_ok):
+        """Log when the watch of the configuration falls silent or works again."""
+        if is_watch_ok == self._is_watch_ok:
             return
-        self._is_told = is_told
-        event = "config-told" if is_told else "config-not-told"
+        self._is_watch_ok = is_watch_ok
+        event = "config-watch-ok" if is_watch_ok else "config-watch-silent"
         logs.log(event, **self._describe())
 
-    async def _read_by_peer(self):
+    async def _read_through_peer(self):
         asked_at = clock.read_monotonic()
         try:
             read = await self._relayed.read_newest(
                 self._ports.config_key,
-                max(self._known_to, self._follower.delivered_revision),
+                max(self._known_revision, self._follower.delivered_revision),
             )
         finally:
             self._is_reading = False
         if isinstance(read, result.Failure):
             return
-        told = read.unwrap()
-        if isinstance(told, relaying.Unchanged):
+        newest = read.unwrap()
+        if isinstance(newest, relaying.Unchanged):
             self._relayed_at = asked_at
-            self._known_to = max(self._known_to, told.at)
-        elif told.revision != transactions.ABSENT_REVISION:
+            self._known_revision = max(self._known_revision, newest.at)
+        elif newest.revision != transactions.ABSENT_REVISION:
             self._relayed_at = asked_at
-            self._take(told.value, told.revision)
+            self._apply(newest.value, newest.revision)
 
-    def _take_late(self, item):
-        """Take what a peer sent when it was given up; it confirms nothing."""
+    def _apply_late(self, item):
+        """Apply a late answer of a peer; it does not confirm the configuration."""
         is_ours = item.key == self._ports.config_key
         if is_ours and item.revision != transactions.ABSENT_REVISION:
-            self._take(item.value, item.revision)
+            self._apply(item.value, item.revision)
 
-    # What callers are checked against.
+    # Checks of callers.
 
     def read_age_s(self):
-        """How long ago the configuration was confirmed, by the store or a peer.
+        """Return how long ago the store or a peer confirmed the configuration.
 
         Returns:
-          A float, seconds; None before it was told of at all.
+          A float, seconds; None before the first confirmation.
         """
         ages = []
         if self._follower is not None and self._follower.read_age_s() is not None:
@@ -178,7 +177,7 @@
     def is_confirmed(self):
         """Whether the configuration was confirmed within MAX_CONFIRMED_AGE_S.
 
-        It is not while an answer is coming, which holds a newer version.
+        False while an answer is being received, since it holds a newer version.
         """
         if self._follower is not None and self._follower.is_receiving():
             return False
@@ -193,7 +192,7 @@
           path: A str.
         Returns:
           A queue.Queue; None when the configuration in force has none, which is
-          logged with its version and how long ago it was confirmed.
+          logged with the configuration's version and the age of its confirmation.
         """
         found = queue.find_queue(self.config, host, path)
         if found is None:
@@ -201,14 +200,15 @@
         return found
 
     def identify(self, called, key):
-        """Find out for whom a request asks.
+        """Identify the caller of a request.
 
         Args:
-          called: The queue.Queue that it is about.
-          key: Bytes, the key that it carries; None without one.
+          called: The queue.Queue of the request.
+          key: Bytes, the key of the request; None without one.
         Returns:
           A Result of a workspace.Caller; its failure is a Denial, which is logged with
-          the version and how long ago it was confirmed, and never with the key.
+          the configuration's version and the age of its confirmation, but without the
+          key.
         """
         known = self.config.workspaces
         if known is None:
@@ -229,7 +229,7 @@
         return result.Failure(denial)
 
     def _describe(self):
-        """What a line about a check names of the configuration, for the log alone."""
+        """Return the log fields that describe the configuration, as a dict."""
         age_s = self.read_age_s()
         confirmed_ms = None if age_s is None else int(age_s * clock.MS_PER_S)
         version = None if self.config is None else self.config.version
--- a/thornport/cell/dispatch/dispatching.py
+++ b/thornport/cell/dispatch/dispatching.py
@@ -152,17 +152,17 @@
         timeout_s = request.wait_ms / clock.MS_PER_S + POLL_SLACK_S
         return await self._call(request, timeout_s)
 
-    async def start(self, order):
+    async def start(self, command):
         """Start a run, as the worker client's `start`.
 
         A worker executes a repeated start command once. A refusal of the second copy
         does not rule out that the first one began a run that has ended since.
         """
-        return await self._call(order, COMMAND_TIMEOUT_S, resolve_repeated_start)
+        return await self._call(command, COMMAND_TIMEOUT_S, resolve_repeated_start)
 
-    async def stop(self, order):
+    async def stop(self, command):
         """Stop a run, as the worker client's `stop`; repeating it has no effect."""
-        return await self._call(order, COMMAND_TIMEOUT_S)
+        return await self._call(command, COMMAND_TIMEOUT_S)
 
     async def _call(self, call, timeout_s, resolve_repeated=None):
         """Make a call through a dispatcher; directly if none is usable or it gives up.
--- a/thornport/cell/dispatch/dispatching_test.py
+++ b/thornport/cell/dispatch/dispatching_test.py
@@ -90,13 +90,13 @@
 
     def begin_start(self):
         """Send a start command."""
-        order = messages.StartOrder("w-h1-0", "h1:w0", KEY, 1, "text", 900, 3)
-        return self.begin(self.workers.start, order)
+        command = messages.StartOrder("w-h1-0", "h1:w0", KEY, 1, "text", 900, 3)
+        return self.begin(self.workers.start, command)
 
     def begin_stop(self):
         """Send a stop command."""
-        order = messages.StopOrder("w-h1-0", "h1:w0", KEY, 1, 3)
-        return self.begin(self.workers.stop, order)
+        command = messages.StopOrder("w-h1-0", "h1:w0", KEY, 1, 3)
+        return self.begin(self.workers.stop, command)
 
     def pass_time(self, seconds, is_heard=False):
         """Advance the clock, with a heartbeat each 50 ms if the dispatcher is heard."""
@@ -123,7 +123,7 @@
 class Answered(DispatchingCase):
     """A dispatcher that answers in time."""
 
-    def test_calls_are_gathered_and_matched_with_their_outcomes(self):
+    def test_calls_are_batched_and_matched_with_their_outcomes(self):
         self.begin_poll()
         self.begin_start()
         self.clock.advance(dispatching.BATCH_DELAY_S)
--- a/thornport/cell/ports.py
+++ b/thornport/cell/ports.py
@@ -1,4 +1,4 @@
-"""What a scheduler process needs of the platform that it runs on."""
+"""The interface between a scheduler process and the platform that it runs on."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,17 +7,17 @@
 
 
 class Ports(msgspec.Struct, frozen=True):
-    """The platform's services, as clients with the project's own types.
+    """Clients of the platform's services and decoders of its documents.
 
     Attributes:
-      store: Calls of `store.transactions`.
-      workers: `hold`, `start`, `stop` and `forget`.
-      advice: `advise`.
-      config_key: A str, the key of the configuration.
+      store: The store client, with the calls of `store.transactions`.
+      workers: The worker client, with `hold`, `start`, `stop` and `forget`.
+      advice: The client of the advice service, with `advise`.
+      config_key: A str, the key of the configuration in the store.
       decode_config: A callable from bytes to a queue.Config.
-      worker_prefix: A str, of the keys of workers.
-      decode_worker: A callable from a worker id and bytes to a WorkerEntry.
-      decode_errors: The exceptions that the two raise.
+      worker_prefix: A str, the prefix of the keys of workers in the store.
+      decode_worker: A callable from a worker ID and bytes to a WorkerEntry.
+      decode_errors: The exceptions that the two decoders raise.
     """
 
     store: Any
--- a/thornport/cell/settings.py
+++ b/thornport/cell/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a scheduler process: an INI file, checked whole."""
+"""Settings of a scheduler process, read from an INI file and validated."""
 
 from typing import Annotated
 
@@ -11,13 +11,13 @@
 
 
 class Process(msgspec.Struct, frozen=True):
-    """Who and where this process is.
+    """The identity and place of this process.
 
     Attributes:
-      name: A str, the same over restarts.
-      hall: A str, its data hall.
-      cpu_share, cores: The share of a core that it has, and how many times as
-        fast that core runs: a VM with more processor owns the cell rather.
+      name: A str that stays the same across restarts.
+      hall: A str, the data hall.
+      cpu_share, cores: The share of a core that the process has, and the relative speed
+        of that core: processes with more CPU are preferred as owner of the cell.
     """
 
     name: str
@@ -27,15 +27,15 @@
 
 
 class Listen(msgspec.Struct, frozen=True):
-    """What this process listens on.
+    """The addresses and ports that this process listens on.
 
     Attributes:
       ip: A str.
       jobs: A str, `IP:PORT` for callers.
-      ready: A str, `IP:PORT` that the balancer asks.
+      ready: A str, `IP:PORT` for the balancer's readiness checks.
       peer_port: An int, for messages between processes.
       metrics_port: An int, for counters, histograms and the interface for jobs; 0
-        lets the kernel choose, none is left out.
+        lets the kernel choose; None disables it.
     """
 
     ip: str
@@ -57,12 +57,12 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Times that the platform promises or asks for.
+    """Bounds that the platform promises or requires.
 
     Attributes:
-      status_s: How long callers ask for a job after its end.
-      grace_s: From the order to stop until the process is killed.
-      limit_overshoot: By what share of it a workspace may pass its limit.
+      status_s: How long after the end of a job callers may ask for it.
+      grace_s: The time from the request to stop until the process is killed.
+      limit_overshoot: The share of its limit by which a workspace may exceed it.
     """
 
     status_s: Seconds = 120.0
@@ -80,11 +80,11 @@
 
 
 def parse_settings(path, text):
-    """Check the settings of a scheduler process.
+    """Parse and validate the settings of a scheduler process.
 
     Args:
-      path: A str naming the file in problems.
-      text: A str, the whole file.
+      path: A str that names the file in problems.
+      text: A str, the content of the file.
     Returns:
       A SchedulerSettings.
     Raises:
--- a/thornport/cell/web.py
+++ b/thornport/cell/web.py
@@ -1,7 +1,7 @@
-"""The product's own interface for jobs, over HTTP.
+"""The project's own HTTP interface for jobs.
 
-It is served beside the metrics, for operators and for platforms without an
-interface of their own. `thornport jobs` speaks it. Bodies are the types of
+It is served on the port of the metrics, for operators and for platforms without an
+interface of their own; `thornport jobs` is a client of it. Bodies are the types of
 `jobs.spec`, `cell.explaining` and this module, as JSON.
 """
 
@@ -12,7 +12,7 @@
 from thornport.jobs import intake, record, spec, workspace
 from thornport.kernel import clock, webreply
 
-CALL_TIMEOUT_S = 3.0  # for an answer to a call of this interface
+CALL_TIMEOUT_S = 3.0  # of a call of this interface
 MAX_ID_CHARS = 64  # a job's ID is part of keys, which have 200 bytes at most
 AUTHORIZATION_SCHEME = b"Bearer"
 ID_CHARS = frozenset("abcdefghijklmnopqrstuvwxyz0123456789-")
@@ -29,7 +29,7 @@
     """A queue.
 
     Attributes:
-      waiting: An int, jobs of which no task has begun; None if it was not asked for.
+      waiting: An int, the jobs of which no task has begun; None in the list of queues.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 def add_routes(app, daemon):
-    """Add the interface to an app.
+    """Add all routes of the interface to an app.
 
     Args:
       app: A klein.Klein.
@@ -53,7 +53,7 @@
 
 
 def add_queue_routes(app, daemon):
-    """Add the questions about queues; arguments as for `add_routes`."""
+    """Add the routes of queues; arguments as for `add_routes`."""
 
     @app.route("/v1/queues", methods=["GET"])
     def list_queues(request):
@@ -75,7 +75,7 @@
 
 
 def add_submit_route(app, daemon):
-    """Add the handing in of jobs; arguments as for `add_routes`."""
+    """Add the route that submits jobs; arguments as for `add_routes`."""
 
     @app.route("/v1/queues/<name>/jobs/<job_id>", methods=["PUT"])
     async def submit(request, name, job_id):
@@ -98,7 +98,7 @@
 
 
 def add_list_route(app, daemon):
-    """Add the list of jobs, which the owner has; arguments as for `add_routes`."""
+    """Add the list of jobs, served by the owner only; arguments as for `add_routes`."""
 
     @app.route("/v1/jobs", methods=["GET"])
     def list_jobs(request):
@@ -114,7 +114,7 @@
 
 
 def add_job_routes(app, daemon):
-    """Add showing and cancelling a job; arguments as for `add_routes`."""
+    """Add the routes that show and cancel a job; arguments as for `add_routes`."""
 
     @app.route("/v1/jobs/<job_id>", methods=["GET"])
     async def show_job(request, job_id):
@@ -139,7 +139,7 @@
 
 
 def add_workspaces_route(app, daemon):
-    """Add the workspaces, which the owner knows; arguments as for `add_routes`."""
+    """Add the workspaces, served by the owner only; arguments as for `add_routes`."""
 
     @app.route("/v1/workspaces", methods=["GET"])
     def list_workspaces(request):
@@ -171,7 +171,7 @@
     Returns:
       A spec.Job.
     Raises:
-      spec.SpecError: The ID or the body is wrong, with the place of the fault.
+      spec.SpecError: The ID or the body is invalid; the message names the place.
     """
     if not 0 < len(job_id) <= MAX_ID_CHARS or not ID_CHARS.issuperset(job_id):
         raise spec.SpecError(f"job ID: 1 to {MAX_ID_CHARS} of a-z, 0-9 and -")
@@ -184,7 +184,7 @@
 
 
 def answer_outcome(request, job_id, outcome, state):
-    """Answer what became of a job or cancel that was handed in.
+    """Answer a submitted job or cancellation with its outcome.
 
     Args:
       request: A twisted request.
@@ -202,7 +202,7 @@
 
 
 def identify(daemon, request, queue):
-    """Find out for which workspace a job is handed in, by its `Authorization` header.
+    """Identify the workspace that submits a job by the `Authorization` header.
 
     Args:
       daemon: A daemon.SchedulerDaemon.
@@ -217,13 +217,14 @@
 
 
 def answer_denied(daemon, request, denial, scheme=None):
-    """Answer a caller that is not let in.
+    """Answer a caller that is denied.
 
     Args:
       daemon: A daemon.SchedulerDaemon.
       request: A twisted request.
       denial: A configuring.Denial.
-      scheme: Bytes, that of `Authorization`; None where another header has the key.
+      scheme: Bytes, the scheme of `Authorization`; None where another header has the
+        key.
     Returns:
       Bytes, the body.
     """
@@ -237,7 +238,7 @@
 
 
 def answer_not_accepted(request, outcome):
-    """Answer a call that was not kept, or of which that is not known.
+    """Answer a submitted job or cancellation that was not accepted for certain.
 
     Args:
       request: A twisted request.
@@ -249,16 +250,16 @@
         problem = webreply.Problem("the ID is another job's")
         return webreply.answer(request, 409, problem)
     if outcome.retry_s == intake.ELSEWHERE_RETRY_S:
-        # On this connection the caller would come back to where it can't be served.
+        # A retry on this connection would reach the same process, which can't serve it.
         request.setHeader("Connection", "close")
     status = 503 if isinstance(outcome, intake.Refused) else 504
     return webreply.refuse(request, status, outcome.reason, outcome.retry_s)
 
 
 def answer_no_queue(daemon, request, problem):
-    """Answer that there is no such queue, if that is certain.
+    """Answer that a queue does not exist, if the configuration is confirmed.
 
-    A queue may have been added since the store last told of the configuration.
+    Otherwise the queue may have been added since the last confirmation.
 
     Args:
       daemon: A daemon.SchedulerDaemon.
@@ -273,7 +274,9 @@
 
 
 def answer_unconfirmed(request):
-    """Send a caller elsewhere: another process may know a newer version by now.
+    """Refuse a caller so that it retries elsewhere.
+
+    Another process may have a newer version of the configuration.
 
     Args:
       request: A twisted request.
@@ -285,7 +288,7 @@
 
 
 def answer_no_job(request, job_id):
-    """Answer that there is no such job.
+    """Answer that a job does not exist.
 
     Args:
       request: A twisted request.
@@ -297,7 +300,7 @@
 
 
 def answer_not_owner(request, daemon):
-    """Answer who could tell.
+    """Answer with the name of the owner, which can serve the request.
 
     Args:
       request: A twisted request.
@@ -306,5 +309,5 @@
       Bytes, the body.
     """
     owner = daemon.owner_name or "nobody"
-    told = webreply.Problem(f"{owner} owns the cell and can tell")
-    return webreply.answer(request, 421, told)
+    problem = webreply.Problem(f"{owner} owns the cell and can tell")
+    return webreply.answer(request, 421, problem)
--- a/thornport/cell/web_test.py
+++ b/thornport/cell/web_test.py
@@ -1,4 +1,4 @@
-"""What callers of the product's own interface are told that are not let in."""
+"""Tests of the answers to denied callers of the project's own interface."""
 
 import io
 import unittest
@@ -15,10 +15,10 @@
 
 
 class Denied(deniedcase.Denied, unittest.TestCase):
-    """A caller of the product's own interface."""
+    """A denied caller of the project's own interface."""
 
     def ask(self, denial):
-        """Hand in a job; returns the request that was answered."""
+        """Submit a job; return the request that was answered."""
         daemon = self.make_daemon(denial)
         daemon.config.queues = (QUEUE,)
         app = klein.Klein()
@@ -28,7 +28,7 @@
         self.take(app, daemon, QUEUE, "submit", request, "press", "a")
         return request
 
-    def test_unknown_key_is_told_with_the_scheme_to_use(self):
+    def test_unknown_key_is_refused_with_the_scheme_to_use(self):
         self.check_unknown(["Bearer"])
 
 
