--- a/thornport/jobs/__init__.py
+++ b/thornport/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: what callers hand in, what is kept of it, and its state."""
+"""Jobs: their specification, submission, persisted records and state."""
--- a/thornport/jobs/intake.py
+++ b/thornport/jobs/intake.py
@@ -1,9 +1,9 @@
-"""Taking jobs and cancels: each is kept in the store before it is accepted.
+"""Accepts jobs and cancels once they are persisted in the store.
 
-Submissions that come close together share a transaction. Every job has a key
-of its own that must not be there yet, so the same ID is one job, at whatever
-process and however often it comes, and a write can be sent again when its
-answer was lost.
+Submissions that arrive within a short window share a transaction. Each job is
+written under its own key on condition that the key is absent. The same ID is
+therefore one job, whichever process receives it and however often, and a write
+whose answer was lost can be repeated.
 """
 
 import collections
@@ -16,68 +16,69 @@
 from thornport.kernel import clock, logs, tasks
 from thornport.store import port, transactions
 
-BATCH_JOBS = 16  # two of a transaction's 32 entries each
-GATHER_S = 0.001  # jobs that come within this share a transaction
-RETRY_S = 0.06  # after a write that the store did not take
-# A write without an answer is carried out seconds later at most; callers send
-# the same ID again for some seconds.
+BATCH_JOBS = 16  # a job takes two of a transaction's 32 entries
+GATHER_S = 0.001  # jobs that arrive within this window share a transaction
+RETRY_S = 0.06  # between a failed write and its retry
+# The store applies an unanswered write within seconds, and callers repeat an ID for
+# some seconds.
 UNRESOLVED_S = 30.0
-ANSWER_MARGIN_S = 0.15  # an answer is on its way before the caller gives up
-# A refusal that comes later than a quarter of the job's objective is priced.
+ANSWER_MARGIN_S = 0.15  # answers are sent this long before the caller's deadline
+# A refusal later than a quarter of the job's objective is penalized.
 REFUSE_SHARE = 0.25
-MAX_REFUSE_S = 0.35  # a caller tries four times within its deadline
-RESOLVE_S = 0.9  # for an open write to be resolved; a third of callers' deadline
-AGAIN_RETRY_S = 1  # while the store is away for all, or slow
-ELSEWHERE_RETRY_S = 0  # another process serves: the caller's next connection goes there
+MAX_REFUSE_S = 0.35  # leaves time for four tries within a caller's deadline
+RESOLVE_S = 0.9  # to resolve an ambiguous write; a third of callers' deadline
+AGAIN_RETRY_S = 1  # the store is slow or no process reaches it
+ELSEWHERE_RETRY_S = 0  # other processes serve: the caller's next connection reaches one
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The job, or the cancel, is kept."""
+    """The job or the cancel is persisted."""
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """It is not kept and never will be; come back in `retry_s`."""
+    """The job or cancel is not persisted and never will be; retry after `retry_s`."""
 
     reason: str
     retry_s: int = AGAIN_RETRY_S
 
 
 class Unknown(msgspec.Struct, frozen=True):
-    """It may be kept: the store's answer was lost; ask again in `retry_s`."""
+    """The store's answer was lost: it may be persisted; retry after `retry_s`."""
 
     reason: str
     retry_s: int = AGAIN_RETRY_S
 
 
 class NoSuchJob(msgspec.Struct, frozen=True):
-    """There is no such job, or none that the caller may see."""
+    """The job does not exist, or the caller may not see it."""
 
 
 class Taken(msgspec.Struct, frozen=True):
-    """Another workspace has a job of this ID; what was handed in never runs."""
+    """Another workspace has a job of this ID; the submitted job never runs."""
 
 
 class Notifier:
-    """Tells the other processes of what is being kept."""
+    """Notifies the other processes of jobs and cancels that this one persists."""
 
     def notify_incoming(self, value):
-        """Tell the owner that a job is being kept; bytes of its record."""
+        """Send the owner the encoded record of a job whose write is under way."""
 
     def notify_persisted(self, job_id, is_cancel=False):
-        """Tell the owner that a job, or its cancel, is kept."""
+        """Notify the owner that a job, or its cancel, is persisted."""
 
     def notify_unresolved(self, job_id):
-        """Tell all that a job may be kept, and its caller was told neither."""
+        """Notify all processes that it is unknown whether a job is persisted."""
 
 
 class Pending(msgspec.Struct, eq=False):
-    """A submission that waits for the store.
+    """A submission that waits for its write to the store.
 
     Attributes:
-      refuse_at: A float, when it is refused if that is true by then.
-      give_up_at: A float, when its outcome is said to be unknown.
-      may_be_kept: Whether a write of it had no answer.
-      value: Bytes, its record encoded.
+      refuse_at: When it is refused, unless it may be persisted.
+      give_up_at: When its outcome is reported as unknown at the latest.
+      may_be_persisted: Whether an earlier try or a write without an answer may have
+        persisted it.
+      value: The encoded record.
     """
 
     job_record: record.JobRecord
@@ -89,16 +90,16 @@
 
 
 class Intake:
-    """Writes submissions and cancels."""
+    """Writes submissions and cancels to the store."""
 
     def __init__(self, reactor, store, metrics, notifier):
-        """Begin.
+        """Create an intake without pending submissions.
 
         Args:
           reactor: Twisted's reactor.
           store: A relaying.RelayedStore.
           metrics: A metrics.Metrics.
-          tell: A Notifier, to tell the other processes.
+          notifier: A Notifier of the other processes.
         """
         self._reactor = reactor
         self._store = store
@@ -109,7 +110,7 @@
         self._gathered = []
 
     def note_unresolved(self, job_id):
-        """Note that a job may be kept: it can't be refused truthfully.
+        """Note that a job may be persisted, so that it must not be refused.
 
         Args:
           job_id: A str.
@@ -121,11 +122,11 @@
         by_id[job_id] = now + UNRESOLVED_S
 
     def submit(self, job_record, deadline):
-        """Keep a job.
+        """Persist a job.
 
         Args:
-          kept: A record.JobRecord.
-          deadline: A float, when its caller gives up.
+          job_record: A record.JobRecord.
+          deadline: A float, until when the caller waits.
         Returns:
           A Deferred of Accepted, Taken, Refused or Unknown.
         """
@@ -135,7 +136,7 @@
         pending.may_be_persisted = self._may_be_persisted(job_record.job_id)
         self._open_count_by_id[job_record.job_id] += 1
         if self._store.is_unavailable() and not pending.may_be_persisted:
-            self._settle(pending, self._refuse("the store is away"), "refused")
+            self._settle(pending, self._refuse("the store is unavailable"), "refused")
             return pending.outcome
         pending.value = record.encode_record(job_record)
         self._notifier.notify_incoming(pending.value)
@@ -145,13 +146,13 @@
         return pending.outcome
 
     def give_up(self, job_id, reason):
-        """Say of a job that is being handed in that its outcome is not known.
+        """Report the outcome of a submission as unknown.
 
         Args:
           job_id: A str.
           reason: A str.
         Returns:
-          An Unknown; no process refuses the job from now on.
+          An Unknown; for UNRESOLVED_S from now no notified process refuses the job.
         """
         self.note_unresolved(job_id)
         self._notifier.notify_unresolved(job_id)
@@ -161,13 +162,13 @@
         return Refused(reason, self._choose_retry_s())
 
     def _choose_retry_s(self):
-        """When a caller should come back, an int: at once if others serve."""
+        """Choose a caller's retry delay in seconds: 0 if other processes serve."""
         if self._store.is_cut_off():
             return ELSEWHERE_RETRY_S
         return AGAIN_RETRY_S
 
     def _may_be_persisted(self, job_id):
-        """Whether an earlier try, which may be open still, may have kept a job."""
+        """Whether an earlier try, perhaps still under way, may have persisted a job."""
         return (
             job_id in self._unresolved_until_by_id or job_id in self._open_count_by_id
         )
@@ -197,7 +198,7 @@
             await tasks.sleep(self._reactor, RETRY_S)
 
     def _settle_known(self, batch, error):
-        """Settle the jobs that are in the store already; the others go on."""
+        """Settle the jobs that the store has already and return the others."""
         remaining = []
         for pending in batch:
             item = error.by_key.get(record.JOB_PREFIX + pending.job_record.job_id)
@@ -211,7 +212,7 @@
 
     def _give_up(self, pending, error, now):
         if pending.may_be_persisted:
-            # Sending it again tells what became of it, unless the store is away.
+            # Repeating the write resolves it, unless the store is unavailable.
             resolve_until = pending.refuse_at
             if not self._store.is_unavailable():
                 resolve_until += RESOLVE_S
@@ -246,12 +247,12 @@
         pending.outcome.callback(outcome)
 
     async def cancel(self, job_id, caller, deadline):
-        """Keep a cancel.
+        """Persist a cancel.
 
         Args:
           job_id: A str.
           caller: A workspace.Caller.
-          deadline: A float, when its caller gives up.
+          deadline: A float, until when the caller waits.
         Returns:
           Accepted, NoSuchJob, Refused or Unknown.
         """
@@ -297,13 +298,13 @@
 
 
 def is_visible(item, caller):
-    """Tell whether the job under a key is there for a caller.
+    """Tell whether a caller may see the job of an item.
 
     Args:
-      item: A transactions.Item that is there.
+      item: A transactions.Item that exists in the store.
       caller: A workspace.Caller.
     Returns:
-      A bool; true of a value that is no record, of which nobody's name is known.
+      A bool; true for an undecodable value, whose workspace is unknown.
     """
     try:
         return caller.may_see(record.decode_job(item.value))
@@ -313,10 +314,10 @@
 
 
 def compute_refuse_s(job_record):
-    """How long a job may wait for the store until it is refused.
+    """Compute how long a job may wait for the store before it is refused.
 
     Args:
-      kept: A record.JobRecord.
+      job_record: A record.JobRecord.
     Returns:
       A float, seconds.
     """
@@ -324,7 +325,7 @@
 
 
 def make_transaction(batch):
-    """Make the transaction of some submissions.
+    """Make the transaction that writes a batch of submissions.
 
     Args:
       batch: A list of Pending.
--- a/thornport/jobs/intake_test.py
+++ b/thornport/jobs/intake_test.py
@@ -87,13 +87,15 @@
 
     def test_caller_is_sent_elsewhere_at_once(self):
         outcome, took_s = self.submit()
-        self.assertEqual(outcome, intake.Refused("the store is away", 0))
+        self.assertEqual(outcome, intake.Refused("the store is unavailable", 0))
         self.assertLessEqual(took_s, STEP_S)
         self.assertEqual(self.store.commits, 0)
 
     def test_caller_waits_while_the_store_is_away_for_all(self):
         self.store.cut_off = False
-        self.assertEqual(self.submit()[0], intake.Refused("the store is away", 1))
+        self.assertEqual(
+            self.submit()[0], intake.Refused("the store is unavailable", 1)
+        )
 
     def test_job_that_may_be_kept_is_not_refused_but_asked_for_elsewhere(self):
         self.store.outcomes = [result.Failure(port.Ambiguous("no answer"))]
--- a/thornport/jobs/queue.py
+++ b/thornport/jobs/queue.py
@@ -1,4 +1,4 @@
-"""Queues and the configuration that names them."""
+"""Queues, and the configuration that defines them."""
 
 import msgspec
 
@@ -6,12 +6,12 @@
 
 
 class Advice(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a queue's advice behaves.
+    """Cost and validity of a queue's advice.
 
     Attributes:
-      base_ms: A float, milliseconds of one call.
-      worker_ms: A float, more for each worker that it names.
-      valid_ms: An int, how long a ticket holds.
+      base_ms: A float, the duration of a call without its workers.
+      worker_ms: A float, the additional duration for each worker that a call names.
+      valid_ms: An int, how long a ticket is valid.
     """
 
     base_ms: float = 0.0
@@ -24,14 +24,14 @@
 
     Attributes:
       name: A str.
-      host, path_prefix: Where callers reach it.
-      service: A str, the pool of workers that runs its tasks.
-      priority: An int; 0 goes first, and is urgent.
-      max_attempts: An int, failed runs of a task until its job has failed.
-      stretch, target_ms: A job is in time within its longest chain of work
-        times the stretch, and the target more.
-      advice: Advice, or None when any worker may run its tasks.
-      is_public: Whether its callers need no key.
+      host, path_prefix: The host and path at which callers reach it.
+      service: The name of the pool of workers that runs its tasks.
+      priority: An int; 0 is the highest and means urgent.
+      max_attempts: An int, after how many failed runs of a task its job fails.
+      stretch, target_ms: The objective of a job is its critical path times the
+        stretch, plus the target.
+      advice: Advice, or None if any worker may run its tasks.
+      is_public: Whether callers need no key.
     """
 
     name: str
@@ -50,13 +50,13 @@
     """A version of the configuration.
 
     Attributes:
-      version: An int; within a process it only rises.
+      version: An int that only rises within a process.
       queues: A tuple of Queue.
-      guarded_services: Names of services whose workers refuse what does not fit.
-      max_body_bytes: An int, the largest body taken from callers.
-      services: Names of the services there are.
-      workspaces: workspace.Workspaces; None of a deployment that has none, where no
-        key is asked for and nothing is limited.
+      guarded_services: Names of services whose workers refuse tasks that don't fit.
+      max_body_bytes: An int, the largest request body accepted from callers.
+      services: Names of the configured services.
+      workspaces: workspace.Workspaces, or None in a deployment without workspaces,
+        which requires no keys and sets no limits.
     """
 
     version: int
@@ -67,12 +67,12 @@
     workspaces: workspace.Workspaces | None = None
 
     def list_services(self):
-        """The names of all services that it names, those of queues too; a frozenset."""
+        """List the names of all services, those of queues included; a frozenset."""
         return self.services.union(queue.service for queue in self.queues)
 
 
 def find_queue(config, host, path):
-    """Find the queue of a request: its host's longest prefix of the path.
+    """Find the queue of a request: the longest matching path prefix of its host.
 
     Args:
       config: A Config.
--- a/thornport/jobs/reading.py
+++ b/thornport/jobs/reading.py
@@ -1,4 +1,4 @@
-"""The state of jobs as the store has it, for when the owner can't be asked."""
+"""Reads the state of jobs from the store, for when the owner can't be reached."""
 
 from returns import result
 
@@ -13,10 +13,10 @@
     Args:
       store: A store client.
       job_id: A str.
-      caller: The workspace.Caller who asks.
+      caller: The workspace.Caller that asks.
     Returns:
-      A Result of record.JobState, or of None when there is no job that the caller
-      may see.
+      A Result of record.JobState, or of None if there is no such job or the caller
+      may not see it.
     """
     read = await store.read_key(record.PROGRESS_PREFIX + job_id)
     if isinstance(read, result.Failure):
@@ -26,7 +26,7 @@
         progress = None
     elif caller.sees_all:
         return decode_item(progress, read_progress)
-    # Read after the progress: an end is written here as the progress goes.
+    # Read after the progress: the end is written here as the progress is deleted.
     read = await store.read_key(record.JOB_PREFIX + job_id)
     if isinstance(read, result.Failure):
         return read
@@ -44,28 +44,28 @@
 
 
 def read_progress(value):
-    """The record.JobState that the progress of a job tells; bytes come in."""
+    """Decode the record.JobState from the encoded progress of a job."""
     return record.decode_progress(value).state
 
 
 def decode_item(item, decode):
-    """Decode what the store keeps of a job.
+    """Decode a record of a job.
 
     Args:
       item: A transactions.Item.
-      decode: A callable of its value.
+      decode: A callable that decodes the item's value.
     Returns:
-      A Result of what it gives; a failure if the value is no record.
+      A Result of the decoded value; a failure if the value can't be decoded.
     """
     try:
         return result.Success(decode(item.value))
     except record.RecordError as error:
         logs.log("record-undecodable", key=item.key, reason=str(error))
-        return result.Failure(port.Unavailable(f"bad record: {error}"))
+        return result.Failure(port.Unavailable(f"undecodable record: {error}"))
 
 
 async def count_waiting(store, queue_name):
-    """Count the jobs of a queue of which no task has begun.
+    """Count the jobs of a queue that have not begun, without repeating jobs.
 
     Args:
       store: A store client.
--- a/thornport/jobs/record.py
+++ b/thornport/jobs/record.py
@@ -1,9 +1,10 @@
-"""What is kept of jobs in the store: keys and values.
+"""Persisted records of jobs: their keys and values in the store.
 
-A job is written once by whoever takes it, a cancel once by whoever takes
-that, and the progress of a job again and again by the owner of its cell. When
-the job is over, its key says how it ended and its progress goes. What has its
-default is left out: a successor on a small VM reads all of this at once.
+A job and a cancel are each written once, by the process that accepts them. The
+owner of the cell rewrites the progress of a job as it advances. When the job is
+over, its record holds its end state and its progress is deleted. Fields with
+their default are omitted, because a successor on a small VM reads all records at
+once.
 """
 
 import enum
@@ -20,7 +21,7 @@
 
 
 class JobState(enum.Enum):
-    """The states that callers are shown."""
+    """The states of a job that callers see."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -33,9 +34,9 @@
 
 
 class FailureCause(enum.Enum):
-    """Why a job is shown as failed.
+    """Why a job has failed.
 
-    ATTEMPTS: a task or a gang failed as often as its queue allows.
+    ATTEMPTS: a task or a gang used up the attempts that its queue allows.
     CRASHES: a task crashed the workers that started it.
     """
 
@@ -44,14 +45,15 @@
 
 
 class JobRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A job as it was accepted, with its queue as it was then.
+    """A job and its queue as they were when the job was accepted.
 
     Attributes:
       accepted_at_ms: An int, milliseconds since 1970.
-      end_state: The JobState of a job that is over; its progress is not kept then.
+      end_state: The JobState of a job that is over; its progress is deleted then.
       cause: The FailureCause, if it has failed.
-      workspace: A str, the name of the workspace whose job it is; empty where there
-        are none, in public queues, and in records of versions that knew none.
+      workspace: The name of the workspace that the job belongs to; empty in
+        deployments without workspaces, in public queues, and in records of versions
+        before workspaces.
     """
 
     job_id: str
@@ -63,24 +65,24 @@
     workspace: str = ""
 
     def compute_objective_ms(self):
-        """Compute within what time the job is in time, by its own estimates; an int."""
+        """Compute the job's time objective from its own estimates; an int."""
         critical_path_ms = spec.compute_critical_path_ms(self.job)
         return int(self.queue.target_ms + self.queue.stretch * critical_path_ms)
 
     def compute_slack_ms(self):
-        """Compute how long it may wait in all and be in time, likewise; an int."""
+        """Compute how long the job may wait in all and meet its objective; an int."""
         critical_path_ms = spec.compute_critical_path_ms(self.job)
         return max(0, self.compute_objective_ms() - critical_path_ms)
 
 
 def make_record(job_id, of_queue, job, caller):
-    """Make the record of a job that is handed in now.
+    """Make the record of a job that is submitted now.
 
     Args:
       job_id: A str.
       of_queue: A queue.Queue.
       job: A spec.Job.
-      caller: The workspace.Caller who hands it in.
+      caller: The workspace.Caller that submits it.
     Returns:
       A JobRecord.
     """
@@ -89,13 +91,13 @@
 
 
 def close_job(job_record, state, cause=None):
-    """Make what stands for a job that is over.
+    """Make the record that replaces a job that is over.
 
-    Its ID stays known, and a successor need not read what it was.
+    It keeps the ID known and omits the specification, so that a successor reads less.
 
     Args:
-      kept: A JobRecord.
-      state: A JobState, its end.
+      job_record: A JobRecord.
+      state: The JobState that it ended in.
       cause: A FailureCause, if it has failed.
     Returns:
       A JobRecord without steps.
@@ -113,17 +115,17 @@
 
 
 class LiveRun(msgspec.Struct, frozen=True, array_like=True):
-    """A run that may be live: written before the worker is told to start it.
+    """A run that may be live; persisted before its start command is sent.
 
     Attributes:
-      index: An int, of its task.
-      run: An int.
+      index: An int, the index of its task.
+      run: An int, the run number.
       worker_id: A str.
-      address: A str, the worker's: a successor may find the worker not listed, and has
-        to reach it nevertheless. Empty in records of earlier versions.
-      worker_started_at_ms: An int, of the life of the worker that it was given to: what
-        that life's crash says against the task holds for a successor too. None if it is
-        not known.
+      address: The worker's address, by which a successor reaches the worker even if it
+        is not listed. Empty in records of earlier versions.
+      worker_started_at_ms: The start of the worker's incarnation that the run was given
+        to, so that a successor too attributes a crash of that incarnation to the task.
+        None if it is not known.
     """
 
     index: int
@@ -134,18 +136,19 @@
 
 
 class StepProgress(msgspec.Struct, frozen=True, array_like=True):
-    """How far a step has come.
+    """The progress of a step.
 
     Attributes:
-      time: An int, which of the job's times.
-      step: An int, its place in the job.
-      last_run: An int, the highest run number given out.
-      all_done: A bool, every task is done; the fields below are then empty.
+      time: An int, which repetition of the job.
+      step: An int, the index of the step in the job.
+      last_run: An int, the highest run number assigned.
+      all_done: Whether every task is done; the fields below are then empty.
       done: Indexes of tasks that are done.
-      failures: Pairs of task index and failed runs; GANG_INDEX for a gang.
+      failures: Pairs of task index and count of failed runs; GANG_INDEX for a gang.
       live: The runs that may be live.
       checkpoints: Pairs of task index and the latest checkpoint known.
-      crash_points: Pairs of task index and the evidence that it crashes its workers.
+      crash_points: Pairs of task index and the points of evidence that the task
+        crashes its workers.
     """
 
     time: int
@@ -160,12 +163,12 @@
 
 
 class Progress(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How far a job has come.
+    """The progress of a job.
 
     Attributes:
       state: A JobState.
-      steps: The StepProgress of steps that have begun.
-      times_done: An int, how many of the job's times are over.
+      steps: The StepProgress of each step that has begun.
+      times_done: An int, how many repetitions of the job are over.
       cause: The FailureCause of a job that has failed.
     """
 
@@ -181,7 +184,7 @@
 
 
 class RecordError(Exception):
-    """A value in the store is not a record of ours."""
+    """A value in the store can't be decoded as the expected record."""
 
 
 def encode_record(record):
@@ -203,7 +206,7 @@
     Returns:
       A JobRecord.
     Raises:
-      RecordError: The bytes are no such record.
+      RecordError: The bytes are not a JobRecord.
     """
     return _decode(_JOB_DECODER, value)
 
@@ -216,7 +219,7 @@
     Returns:
       A Progress.
     Raises:
-      RecordError: The bytes are no such record.
+      RecordError: The bytes are not a Progress.
     """
     return _decode(_PROGRESS_DECODER, value)
 
--- a/thornport/jobs/spec.py
+++ b/thornport/jobs/spec.py
@@ -1,28 +1,28 @@
-"""What a caller hands in: a job of steps of tasks, checked whole.
+"""The specification of a job, its steps and tasks, and its validation.
 
-The pure part of taking a job: nothing here does I/O.
+Nothing in this module does I/O.
 """
 
 from typing import Annotated
 
 import msgspec
 
-MAX_SPEC_BYTES = 4_000  # longest text of a job, from the users' interface
-MAX_STEPS = 64  # far above the widest job of the users, keeps a record small
-MAX_TASKS = 4_096  # of one step; the users' widest step has 60
+MAX_SPEC_BYTES = 4_000  # longest text of a job, by the users' interface
+MAX_STEPS = 64  # far above the users' largest job; bounds the size of a record
+MAX_TASKS = 4_096  # in one step; the users' widest step has 60
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=10**9)]
 
 
 class Demand(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a task needs or a worker has, in whole units so that sums are exact."""
+    """Resources of a task or a worker, in whole units so that sums are exact."""
 
     millicores: int = 0
     memory_mb: int = 0
     accelerators: int = 0
 
     def add(self, other):
-        """Add, giving a new Demand."""
+        """Return the sum as a new Demand."""
         return Demand(
             self.millicores + other.millicores,
             self.memory_mb + other.memory_mb,
@@ -30,7 +30,7 @@
         )
 
     def subtract(self, other):
-        """Subtract, giving a new Demand."""
+        """Return the difference as a new Demand."""
         return Demand(
             self.millicores - other.millicores,
             self.memory_mb - other.memory_mb,
@@ -38,7 +38,7 @@
         )
 
     def limit(self, other):
-        """Limit by another, resource by resource, giving a new Demand."""
+        """Return the minimum of each resource as a new Demand."""
         return Demand(
             min(self.millicores, other.millicores),
             min(self.memory_mb, other.memory_mb),
@@ -46,10 +46,10 @@
         )
 
     def compute_dominant_share(self, total):
-        """Say what share of a whole this is, a float, by the resource it has least of.
+        """Compute the largest share of a total that any one resource takes, a float.
 
         Args:
-          total: A Demand; a resource that it has none of counts for nothing.
+          total: A Demand; resources of which it is 0 are ignored.
         """
         shares = (
             (self.millicores, total.millicores),
@@ -59,20 +59,20 @@
         return max((part / whole for part, whole in shares if whole), default=0.0)
 
     def rank_room(self):
-        """Rank room for best fit: what has fewer accelerators left goes first.
+        """Rank free room for best fit: fewer free accelerators come first.
 
         Returns:
-          A pair that is lower for room that is filled rather. Accelerators are the
-          scarcest: a task of all of them needs a worker on which none is used.
+          A sort key, lower for room that is filled first. Accelerators are the scarcest
+          resource: a task that needs all of them needs a worker with none in use.
         """
         return self.accelerators, self.millicores
 
     def count_in(self, available, max_count):
-        """Count how many times this fits into some room.
+        """Count how many times this fits into the available resources.
 
         Args:
-          room: A Demand.
-          most: An int, the most that counts.
+          available: A Demand.
+          max_count: An int, the upper bound of the count.
         Returns:
           An int.
         """
@@ -86,7 +86,7 @@
         return min([max_count, *(whole // part for part, whole in pairs if part)])
 
     def fits(self, available):
-        """Tell whether this fits into some room, all resources at once."""
+        """Tell whether every resource fits into the available resources."""
         return (
             self.millicores <= available.millicores
             and self.memory_mb <= available.memory_mb
@@ -95,25 +95,25 @@
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Tasks of one kind.
+    """A step of a job: tasks with the same specification.
 
     Attributes:
-      count: An int, its tasks.
+      count: An int, the number of its tasks.
       demand: Demand of one task.
-      estimate_ms: An int, a rough guess of a task's run time.
-      after: Numbers of earlier steps whose tasks must all be done first.
-      checkpoints: Whether its tasks save their progress.
-      gang: Whether its tasks work only together.
+      estimate_ms: An int, a rough estimate of a task's run time.
+      after: Indexes of the earlier steps that must be done first.
+      checkpoints: Whether its tasks save checkpoints.
+      gang: Whether its tasks must all run at once.
       same_rack: Whether a gang runs slower when spread over racks.
-      label: A label that a worker must have; empty for any.
-      near_rack: The rack that holds its data; empty for any.
-      max_per_worker: Most of its tasks on one worker; 0 for any number.
-      copies_allowed: Whether copies of a task may run beside each other.
+      label: A label that a worker must have; empty for any worker.
+      near_rack: The rack that holds its data; empty for any rack.
+      max_per_worker: The most of its tasks on one worker; 0 for no bound.
+      copies_allowed: Whether copies of a task may run at the same time.
       lasting: Whether its tasks run until the job is cancelled.
-      image: What its tasks run; tasks of one image behave alike.
-      tail_target_ms: For lasting tasks, the bound on their answers' tail.
-      fills: Whether it uses only what others leave unused.
-      may_miss: How many lasting tasks may be away at once by our doing.
+      image: The image that its tasks run; tasks of one image behave alike.
+      tail_target_ms: The target for the tail latency of lasting tasks' answers.
+      fills: Whether it uses only resources that other steps leave unused.
+      may_miss: How many lasting tasks the scheduler itself may have down at once.
     """
 
     count: int
@@ -135,14 +135,14 @@
 
 
 class Job(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A job.
+    """A job as its caller specifies it.
 
     Attributes:
-      text: A str that its tasks are given.
-      steps: Its steps.
-      repeats: How many times the steps run by the clock; 0 for once, at once.
-      first_at_ms: When the first time is due, milliseconds since 1970.
-      interval_ms: From one time to the next.
+      text: A str that is passed to its tasks.
+      steps: A tuple of Step.
+      repeats: How many times the steps run on schedule; 0 to run once, at once.
+      first_at_ms: When the first repetition is due, milliseconds since 1970.
+      interval_ms: The interval between repetitions.
     """
 
     text: str = ""
@@ -153,7 +153,7 @@
 
 
 def compute_critical_path_ms(job):
-    """Compute the longest chain of steps that wait for one another.
+    """Compute the duration of the longest chain of dependent steps.
 
     Args:
       job: A Job.
@@ -168,16 +168,16 @@
 
 
 class SpecError(Exception):
-    """A job can't be taken as it is written; the text names the place."""
+    """A job specification is invalid; the message names the place."""
 
 
 def check_job(job):
-    """Check what the types alone do not.
+    """Validate what the types alone do not.
 
     Args:
       job: A Job.
     Raises:
-      SpecError: With the first fault and its place.
+      SpecError: Names the first fault and its place.
     """
     if len(job.text.encode()) > MAX_SPEC_BYTES:
         raise SpecError(f"spec: longer than {MAX_SPEC_BYTES} bytes")
@@ -190,20 +190,20 @@
 
 
 def check_step(number, step):
-    """Check one step.
+    """Validate one step.
 
     Args:
-      number: An int, its place in the job.
+      number: An int, its index in the job.
       step: A Step.
     Raises:
-      SpecError: With the first fault and its place.
+      SpecError: Names the first fault and its place.
     """
     if not 1 <= step.count <= MAX_TASKS:
         raise SpecError(f"steps[{number}].count: from 1 to {MAX_TASKS} is allowed")
     demand = step.demand
     if min(demand.millicores, demand.memory_mb, demand.accelerators) < 0:
         raise SpecError(f"steps[{number}]: a demand below zero")
-    # A step comes after earlier ones only, so there can be no circle.
+    # A step may depend on earlier steps only, which rules out cycles.
     for earlier in step.after:
         if not 0 <= earlier < number:
             raise SpecError(f"steps[{number}].after: {earlier} is no earlier step")
--- a/thornport/jobs/workspace.py
+++ b/thornport/jobs/workspace.py
@@ -1,8 +1,8 @@
-"""Workspaces: whose jobs they are, which keys let their callers in, what they may use.
+"""Workspaces: the owners of jobs, with the keys of their callers and their limits.
 
-A workspace is known by a key for the length of one request, and by its name from then
-on. Keys are held as digests under a secret of this process alone, so that neither a log
-nor the time of a look-up tells how near a wrong key came.
+A request identifies its workspace by a key; everything after that uses the name. Keys
+are looked up by digests keyed with a secret of this process, so that neither a log nor
+the duration of a lookup reveals how close a wrong key came.
 """
 
 import hashlib
@@ -12,9 +12,9 @@
 
 from thornport.jobs import spec
 
-# Of a resource without a limit: more than any cell has, and sums with it stay exact.
+# Stands for no limit: more than any cell has, and small enough for exact sums.
 UNLIMITED = 2**50
-DIGEST_BYTES = 16  # two of a million keys are alike by chance once in 10**26
+DIGEST_BYTES = 16  # two of a million keys collide with a chance of one in 10**26
 _SECRET = os.urandom(DIGEST_BYTES)
 
 
@@ -23,11 +23,10 @@
 
     Attributes:
       name: A str.
-      keys: The keys that let its callers in.
-      weight: A float, the jobs a second that are its share when all is full; 0 if it
-        has none.
+      keys: The API keys of its callers.
+      weight: Its share in jobs per second while the cell is full; 0 for none.
       limit: Demand, the most that it may have running in the whole cell; UNLIMITED
-        of a resource for which there is no limit.
+        for a resource without a limit.
     """
 
     name: str
@@ -37,10 +36,10 @@
 
 
 class BadWorkspace(msgspec.Struct, frozen=True):
-    """What is wrong with a workspace of a configuration, which lets nobody in.
+    """A fault in a workspace of a configuration; the faulty part lets no caller in.
 
     Attributes:
-      place: A str, where it stands; never a key.
+      place: A str, where the fault is; never a key.
       reason: A str.
     """
 
@@ -53,17 +52,17 @@
 
     Attributes:
       by_name: The Workspaces by name.
-      bad: A tuple of BadWorkspace, what was left out.
+      bad: A tuple of BadWorkspace, the faults.
     """
 
     __slots__ = ("_by_digest", "bad", "by_name")
 
     def __init__(self, workspaces, bad=()):
-        """Index them; a key that stands in two lets nobody in.
+        """Index workspaces by name and key; a key of two workspaces is rejected.
 
         Args:
-          workspaces: An iterable of Workspace; of two with one name the first counts.
-          bad: An iterable of BadWorkspace, found before.
+          workspaces: An iterable of Workspace; of two with one name the first is used.
+          bad: An iterable of BadWorkspace, faults found before.
         """
         self.by_name = {}
         self._by_digest = {}
@@ -71,7 +70,7 @@
         shared = set()
         for workspace in workspaces:
             if workspace.name in self.by_name:
-                faults.append(BadWorkspace(workspace.name, "named twice"))
+                faults.append(BadWorkspace(workspace.name, "duplicate workspace name"))
                 continue
             self.by_name[workspace.name] = workspace
             for key in workspace.keys:
@@ -79,31 +78,31 @@
                 other = self._by_digest.setdefault(digest, workspace)
                 if other is not workspace and digest not in shared:
                     shared.add(digest)
-                    reason = f"a key that {other.name} has too"
+                    reason = f"shares a key with workspace {other.name}"
                     faults.append(BadWorkspace(workspace.name, reason))
         for digest in shared:
             del self._by_digest[digest]
         self.bad = tuple(faults)
 
     def find_by_key(self, key):
-        """Find the workspace that a key lets in.
+        """Find the workspace of a key.
 
         Args:
           key: Bytes, as a caller sent it.
         Returns:
-          A Workspace, or None when the key is not in force.
+          A Workspace, or None if the key is not valid.
         """
         return self._by_digest.get(digest_key(key))
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """For whom a process asks about a job.
+    """The identity under which a request accesses jobs.
 
     Attributes:
-      workspace: A str, the name of the workspace whose key was sent; empty of a caller
-        of a queue that asks for none.
-      queue: A str, the name of that queue; empty where a key was asked for.
-      sees_all: Whether it may see every job: an operator, or any caller where the
+      workspace: The name of the workspace whose key was sent; empty for a caller of a
+        public queue.
+      queue: The name of the public queue; empty for a caller with a key.
+      sees_all: Whether it may see every job: an operator, or any caller if the
         configuration has no workspaces.
     """
 
@@ -112,10 +111,10 @@
     sees_all: bool = False
 
     def may_see(self, job_record):
-        """Tell whether a job is there for this caller.
+        """Tell whether this caller may see a job.
 
         Args:
-          kept: A record.JobRecord. One of a version before workspaces names none.
+          job_record: A record.JobRecord; one of a version before workspaces names none.
         Returns:
           A bool.
         """
@@ -130,10 +129,10 @@
 
 
 def make_submitter(job_record):
-    """Name for whom a job is handed in.
+    """Make the Caller that submits a job.
 
     Args:
-      kept: The record.JobRecord that is to be kept.
+      job_record: The record.JobRecord to persist.
     Returns:
       A Caller.
     """
@@ -143,5 +142,5 @@
 
 
 def digest_key(key):
-    """Make what stands for a key in this process; bytes of bytes."""
+    """Compute the digest of a key, valid within this process; bytes of bytes."""
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES, key=_SECRET).digest()
