--- a/thornport/cell/configuring_test.py
+++ b/thornport/cell/configuring_test.py
@@ -99,7 +99,7 @@
         self.clock.advance(configuring.REFRESH_PERIOD_S)
         self.assertEqual(self.identify(b"k1"), configuring.Denial.UNKNOWN)
         self.assertEqual(self.identify(b"k2"), "press")
-        self.assertEqual([kept.version for kept in self.taken], [1, 2])
+        self.assertEqual([taken.version for taken in self.taken], [1, 2])
 
     def test_older_version_from_a_peer_is_ignored(self):
         self.follower._apply(make_value(5, "k5"), 5)
--- a/thornport/cell/dispatch/dispatching.py
+++ b/thornport/cell/dispatch/dispatching.py
@@ -27,8 +27,8 @@
 # it: three heartbeats are missing. Sweeps are counted instead of time, so that an owner
 # that falls behind first reads the messages that have arrived.
 LATE_SWEEPS = 6
-# A dispatcher is lost after this many sweeps without a message: a process on a busy VM
-# may get no CPU time for up to a second.
+# A late dispatcher that is not back after this many sweeps in total is lost: a process
+# on a busy VM may get no CPU time for up to a second.
 LOST_SWEEPS = 30
 # A lost dispatcher gets no calls until this long after it was found late: a process
 # that was killed is back after some seconds.
--- a/thornport/cell/dispatch/executing.py
+++ b/thornport/cell/dispatch/executing.py
@@ -15,10 +15,10 @@
 # How long outcomes are collected into one message; short, because ends of urgent tasks
 # free capacity that other tasks wait for.
 BATCH_DELAY_S = 0.002
-ALIVE_PERIOD_S = 0.1  # between heartbeats while calls are open
+HEARTBEAT_PERIOD_S = 0.1  # between heartbeats while calls are open
 # A message sent this recently replaces a heartbeat. With a whole period every other
 # heartbeat would be skipped, since each is sent a little after the clock is read.
-RECENTLY_SENT_S = ALIVE_PERIOD_S / 2
+RECENTLY_SENT_S = HEARTBEAT_PERIOD_S / 2
 IDLE_PERIOD_S = 5.0  # between searches for idle workers
 # An assigned worker is called several times a second.
 IDLE_S = 10.0
@@ -60,7 +60,7 @@
     def start(self):
         """Start the heartbeats and the search for idle workers."""
         tasks.call_periodically(
-            self._reactor, ALIVE_PERIOD_S, self._send_heartbeats, "send-heartbeats"
+            self._reactor, HEARTBEAT_PERIOD_S, self._send_heartbeats, "send-heartbeats"
         )
         tasks.call_periodically(
             self._reactor, IDLE_PERIOD_S, self._forget_idle, "forget-idle-workers"
--- a/thornport/cell/dispatch/executing_test.py
+++ b/thornport/cell/dispatch/executing_test.py
@@ -129,7 +129,7 @@
         with mock.patch.object(clock, "read_monotonic", self.read_later):
             for _ in range(10):
                 self.readings = 0
-                self.clock.advance(executing.ALIVE_PERIOD_S)
+                self.clock.advance(executing.HEARTBEAT_PERIOD_S)
         self.assertEqual(len(self.bus.sent), 10)
 
     def read_later(self):
--- a/thornport/cell/serving_test.py
+++ b/thornport/cell/serving_test.py
@@ -37,8 +37,8 @@
 
     def submit(self, wait_s=3.0):
         """Submit a job whose caller waits `wait_s`."""
-        kept = mock.Mock(spec=record.JobRecord, job_id="a")
-        asked = self.serving.submit(kept, self.clock.seconds() + wait_s)
+        job_record = mock.Mock(spec=record.JobRecord, job_id="a")
+        asked = self.serving.submit(job_record, self.clock.seconds() + wait_s)
         defer.ensureDeferred(asked).addCallback(self.given.append)
 
     def test_process_serves_for_most_of_its_grace_period(self):
@@ -78,12 +78,12 @@
     def test_caller_near_its_deadline_gets_an_outcome_that_is_known(self):
         """A caller that retries near its deadline leaves less than the margin."""
 
-        def keep(*_):
-            kept = defer.Deferred()
-            self.clock.callLater(0.005, kept.callback, intake.Accepted())
-            return kept
+        def accept_later(*_):
+            answered = defer.Deferred()
+            self.clock.callLater(0.005, answered.callback, intake.Accepted())
+            return answered
 
-        self.intake.submit.side_effect = keep
+        self.intake.submit.side_effect = accept_later
         self.submit(wait_s=0.06)
         self.clock.pump([0.001] * 10)
         self.assertEqual(self.given, [intake.Accepted()])
--- a/thornport/cell/web.py
+++ b/thornport/cell/web.py
@@ -92,8 +92,8 @@
                 daemon, request, identified.failure(), AUTHORIZATION_SCHEME
             )
         now = clock.read_monotonic()
-        kept = record.make_record(job_id, queue, job, identified.unwrap())
-        outcome = await daemon.serving.submit(kept, now + CALL_TIMEOUT_S)
+        job_record = record.make_record(job_id, queue, job, identified.unwrap())
+        outcome = await daemon.serving.submit(job_record, now + CALL_TIMEOUT_S)
         return answer_outcome(request, job_id, outcome, record.JobState.QUEUED)
 
 
