--- a/thornport/jobs/intake_test.py
+++ b/thornport/jobs/intake_test.py
@@ -1,4 +1,4 @@
-"""What callers are told of jobs whose write fails, stays open, or is known."""
+"""Outcomes of submissions whose write fails, is ambiguous, or was made before."""
 
 import unittest
 from unittest import mock
@@ -16,30 +16,30 @@
 
 
 class FakeStore:
-    """Answers each write as told; away when told."""
+    """A store with set outcomes of writes and set availability."""
 
     def __init__(self):
         self.outcomes = []
         self.commits = 0
-        self.away = False
+        self.unavailable = False
         self.cut_off = False
 
     def is_unavailable(self):
-        """Whether no process reaches the store."""
-        return self.away
+        """Whether the store is set to be unavailable."""
+        return self.unavailable
 
     def is_cut_off(self):
-        """Whether this process alone does not."""
+        """Whether the process is set to be cut off from store and peers."""
         return self.cut_off
 
     async def commit(self, transaction):
-        """Apply a transaction, or fail as told; the last outcome stays."""
+        """Return the next set outcome; the last one repeats."""
         self.commits += 1
         return self.outcomes[0] if len(self.outcomes) == 1 else self.outcomes.pop(0)
 
 
 class IntakeCase(unittest.TestCase):
-    """An intake in simulated time."""
+    """Base of tests with an intake in simulated time."""
 
     def setUp(self):
         self.clock = task.Clock()
@@ -58,10 +58,10 @@
         return record.JobRecord(job_id, QUEUE, job, 0)
 
     def submit(self, job_id="a"):
-        """Hand in a job and let time pass to its deadline.
+        """Submit a job and advance time until its outcome or its deadline.
 
         Returns:
-          A pair of the outcome and the seconds that it took.
+          A pair of the outcome and the seconds until it.
         """
         job_record = self.make_record(job_id)
         began_at = self.clock.seconds()
@@ -74,86 +74,86 @@
 
 
 class CutOff(IntakeCase):
-    """A process that reaches neither the store nor its peers, while they serve.
+    """A process that reaches neither the store nor its peers, while these serve.
 
-    On a played day of 97 VMs a third were cut off for 12 s. Callers on open connections
-    went on asking them: 90 were told after 1.4 s that nothing is known, so that their
-    next try, at a process that serves, was late.
+    Guards against late answers: on a test day with a third of 97 VMs cut off for
+    12 s, 90 callers on open connections got Unknown after 1.4 s, which made their next
+    try, at a process that serves, late.
     """
 
     def setUp(self):
         super().setUp()
-        self.store.away = self.store.cut_off = True
+        self.store.unavailable = self.store.cut_off = True
 
-    def test_caller_is_sent_elsewhere_at_once(self):
+    def test_submission_is_refused_at_once_for_retry_without_delay(self):
         outcome, took_s = self.submit()
         self.assertEqual(outcome, intake.Refused("the store is unavailable", 0))
         self.assertLessEqual(took_s, STEP_S)
         self.assertEqual(self.store.commits, 0)
 
-    def test_caller_waits_while_the_store_is_away_for_all(self):
+    def test_caller_retries_later_while_no_process_reaches_the_store(self):
         self.store.cut_off = False
         self.assertEqual(
             self.submit()[0], intake.Refused("the store is unavailable", 1)
         )
 
-    def test_job_that_may_be_kept_is_not_refused_but_asked_for_elsewhere(self):
+    def test_job_that_may_be_persisted_is_unknown_for_retry_without_delay(self):
         self.store.outcomes = [result.Failure(port.Ambiguous("no answer"))]
         self.intake.note_unresolved("a")
         self.assertEqual(self.submit()[0], intake.Unknown("no answer", 0))
 
 
 class Outcomes(IntakeCase):
-    """The three outcomes, and how long they take."""
+    """Accepted, Refused or Unknown, and the time until each."""
 
-    def test_kept_job_is_accepted_and_told_of(self):
+    def test_persisted_job_is_accepted_and_notified(self):
         self.store.outcomes = [result.Success(7)]
         self.assertIsInstance(self.submit()[0], intake.Accepted)
         self.notifier.notify_persisted.assert_called_once_with("a")
 
-    def test_job_that_is_there_is_accepted_again(self):
+    def test_job_that_the_store_has_already_is_accepted(self):
         item = transactions.Item(record.JOB_PREFIX + "a", b"", 3)
         known = transactions.Refused("a condition failed", {item.key: item})
         self.store.outcomes = [result.Failure(known)]
         self.assertIsInstance(self.submit()[0], intake.Accepted)
 
-    def test_store_that_did_nothing_gives_a_refusal_soon(self):
+    def test_write_that_was_not_applied_is_refused_soon(self):
         self.store.outcomes = [result.Failure(port.Unavailable("status 503"))]
         outcome, took_s = self.submit()
         self.assertIsInstance(outcome, intake.Refused)
         self.assertLess(took_s, intake.MAX_REFUSE_S + 0.2)
 
-    def test_store_that_is_away_gives_a_refusal_at_once_and_no_write(self):
-        self.store.away = True
+    def test_unavailable_store_gives_a_refusal_at_once_without_a_write(self):
+        self.store.unavailable = True
         outcome, took_s = self.submit()
         self.assertIsInstance(outcome, intake.Refused)
         self.assertEqual((took_s, self.store.commits), (0.0, 0))
 
-    def test_open_write_is_never_refused(self):
+    def test_ambiguous_write_is_never_refused(self):
         lost = result.Failure(port.Ambiguous("no answer"))
         nothing_done = result.Failure(port.Unavailable("status 503"))
         self.store.outcomes = [lost, nothing_done]
         self.assertIsInstance(self.submit()[0], intake.Unknown)
-        # The same ID again, also while the store is away.
-        self.store.away = True
+        # Nor is a repeated submission of the ID while the store is unavailable.
+        self.store.unavailable = True
         self.assertIsInstance(self.submit()[0], intake.Unknown)
         self.notifier.notify_unresolved.assert_called_with("a")
 
-    def test_open_write_of_a_peer_is_not_refused_here(self):
-        self.store.away = True
-        self.store.outcomes = [result.Failure(port.Unavailable("away"))]
+    def test_ambiguous_write_of_a_peer_is_not_refused(self):
+        self.store.unavailable = True
+        self.store.outcomes = [result.Failure(port.Unavailable("unavailable"))]
         self.intake.note_unresolved("b")
         self.assertIsInstance(self.submit("b")[0], intake.Unknown)
         self.assertIsInstance(self.submit("c")[0], intake.Refused)
 
-    def test_job_whose_first_try_is_open_is_not_refused(self):
+    def test_job_whose_first_try_is_under_way_is_not_refused(self):
         self.store.outcomes = [result.Failure(port.Unavailable("status 503"))]
         self.intake.submit(self.make_record("a"), self.clock.seconds() + DEADLINE_S)
-        self.store.away = True
+        self.store.unavailable = True
         self.assertIsInstance(self.submit("a")[0], intake.Unknown)
         self.assertIsInstance(self.submit("b")[0], intake.Refused)
 
-    def test_lost_answer_is_resolved_by_sending_again(self):
+    def test_lost_answer_is_resolved_by_repeating_the_write(self):
         item = transactions.Item(record.JOB_PREFIX + "a", b"", 3)
         known = transactions.Refused("a condition failed", {item.key: item})
         lost = result.Failure(port.Ambiguous("no answer"))
--- a/thornport/jobs/reading_test.py
+++ b/thornport/jobs/reading_test.py
@@ -1,4 +1,4 @@
-"""States and counts as the store has them, when no owner can be asked."""
+"""States and counts of jobs read from the store without the owner."""
 
 import unittest
 
@@ -12,13 +12,13 @@
 
 
 class FakeStore:
-    """A store of values by key."""
+    """An in-memory store of items by key."""
 
     def __init__(self):
         self.by_key = {}
 
     def put(self, key, value):
-        """Keep a record under a key."""
+        """Store a record under a key."""
         self.by_key[key] = transactions.Item(key, record.encode_record(value), 1)
 
     async def read_key(self, key):
@@ -33,7 +33,7 @@
 
 
 class Reading(unittest.TestCase):
-    """Jobs that wait, run and are over."""
+    """Reads of jobs that are queued, running, over, unknown or undecodable."""
 
     def setUp(self):
         self.store = FakeStore()
@@ -47,12 +47,12 @@
         self.store.put(record.PROGRESS_PREFIX + "runs", running)
 
     def read(self, coroutine):
-        """Run a coroutine to its end; what it succeeded with."""
+        """Run a coroutine and return the value of its Success."""
         results = []
         tasks.spawn(coroutine, "read").addCallback(results.append)
         return results[0].unwrap()
 
-    def test_state_of_each(self):
+    def test_state_of_each_job_is_read(self):
         states = {
             job_id: self.read(reading.read_state(self.store, job_id))
             for job_id in ("waits", "runs", "over", "unknown")
@@ -65,7 +65,7 @@
         }
         self.assertEqual(states, expected)
 
-    def test_value_that_is_no_record_is_a_failure_and_no_state(self):
+    def test_undecodable_value_is_a_failure(self):
         for prefix in (record.JOB_PREFIX, record.PROGRESS_PREFIX):
             self.store.by_key = {
                 prefix + "bad": transactions.Item(prefix + "bad", b"x", 1)
@@ -75,7 +75,7 @@
             tasks.spawn(read, "read").addCallback(results.append)
             self.assertIsInstance(results[0], result.Failure)
 
-    def test_only_jobs_that_wait_are_counted(self):
+    def test_only_waiting_jobs_are_counted(self):
         self.assertEqual(self.read(reading.count_waiting(self.store, "press")), 1)
 
 
