--- a/thornport/entry/daemon.py
+++ b/thornport/entry/daemon.py
@@ -72,7 +72,7 @@
     def _wire(self):
         self.node.on_ring = self._take_ring
         self.node.on_settings = self._take_settings
-        self.node.on_new_life = self._start_life
+        self.node.on_new_incarnation = self._start_life
         self.sharing.on_slots = self.front.waiting.pump
         self.front.slots.on_leaving = self.take_leaving
         self.front.may_act = self.node.may_act
@@ -116,7 +116,7 @@
         http = f"{listen.ip}:{self._bound.getHost().port}"
         self.node.start(http)
         self._bus.start(self._bus.member_id, self._take_message)
-        peer, bound = self._bus.address, self._bus.bound_to
+        peer, bound = self._bus.address, self._bus.bound_address
         logs.log("listening", http=http, peer=peer, bound=bound)
         self.sharing.start()
         self.keys.start()
@@ -233,7 +233,7 @@
         if await self.node.leave():
             # The others now ask for what this process lent and recorded.
             await tasks.sleep(self._reactor, HAND_OVER_S)
-            await self.node.say_gone()
+            await self.node.announce_gone()
         # Connections that were idle until now may have brought requests meanwhile.
         await self._wait_for_answers()
         logs.log("stopped")
--- a/thornport/membership/node.py
+++ b/thornport/membership/node.py
@@ -58,7 +58,7 @@
         self.guard = None
         self.on_ring = lambda ring, now: None
         self.on_settings = lambda: None
-        self.on_new_life = lambda member_id: None
+        self.on_new_incarnation = lambda member_id: None
 
     @property
     def ring(self):
@@ -89,9 +89,9 @@
             member_id, self._bus.address, self._http, process.vm, process.hall
         )
         self.guard = guard.Guard(me, self._settings.peers.lease_s)
-        self._bus.rename(member_id)
-        self.on_new_life(member_id)
-        logs.log("life-started", member=member_id)
+        self._bus.set_member_id(member_id)
+        self.on_new_incarnation(member_id)
+        logs.log("incarnation-started", member=member_id)
         if ring.epoch:
             self._take_ring(ring)
 
@@ -104,7 +104,7 @@
             logs.log("removed-from-ring", member=self.guard.me.member_id)
             self._start_life(ring)
             return
-        self._bus.forget({member.address for member in ring.members})
+        self._bus.close_others({member.address for member in ring.members})
         self.on_ring(ring, now)
 
     def _take_ring_data(self, data, read_at=None):
@@ -290,7 +290,7 @@
         self._take_ring(left.unwrap())
         return True
 
-    async def say_gone(self):
+    async def announce_gone(self):
         """Tell that everything was handed over and no answer will come."""
         member_id = self.guard.me.member_id
 
--- a/thornport/membership/settling.py
+++ b/thornport/membership/settling.py
@@ -54,7 +54,7 @@
         """Tell whether a member's word is awaited."""
         return member_id in self._asked_until_by_id
 
-    def take_word(self, member_id):
+    def mark_answered(self, member_id):
         """Note that a member has said all that it had to say."""
         self._asked_until_by_id.pop(member_id, None)
 
--- a/thornport/once/holder.py
+++ b/thornport/once/holder.py
@@ -138,7 +138,7 @@
         seen = self._parts_by_sender.setdefault(sender_id, set())
         seen.add(part.part)
         if len(seen) == part.parts:
-            self._settling.take_word(sender_id)
+            self._settling.mark_answered(sender_id)
             self._settle_if_done(now)
 
     def _adopt(self, kept, now):
--- a/thornport/peers/bus.py
+++ b/thornport/peers/bus.py
@@ -50,7 +50,7 @@
 
     Attributes:
       address: A str, `IP:PORT` that peers are told.
-      bound_to: A str, `IP:PORT` that is bound here.
+      bound_address: A str, `IP:PORT` that is bound here.
       member_id: A str, the life that messages are for.
     """
 
@@ -75,10 +75,10 @@
         self._pull.set(zmq.LINGER, 0)
         self._is_reading = False
         self.address = ""
-        self.bound_to = ""
+        self.bound_address = ""
         self.member_id = ""
 
-    def bind(self, ip, port, told=""):
+    def bind(self, ip, port, advertised=""):
         """Bind the receiving socket.
 
         Args:
@@ -90,8 +90,8 @@
         """
         bound = self._pull.bind(f"tcp://{ip}:{port or '*'}")
         endpoint = self._pull.get(zmq.LAST_ENDPOINT) if bound is not None else b""
-        self.bound_to = endpoint.decode().rstrip("\x00").removeprefix("tcp://")
-        self.address = told or self.bound_to
+        self.bound_address = endpoint.decode().rstrip("\x00").removeprefix("tcp://")
+        self.address = advertised or self.bound_address
         return self.address
 
     def start(self, member_id, take):
@@ -106,7 +106,7 @@
         self._reactor.addReader(self)
         self._reactor.callLater(0, self.doRead)
 
-    def rename(self, member_id):
+    def set_member_id(self, member_id):
         """Go on as another life.
 
         Args:
@@ -175,7 +175,7 @@
             self._push_by_address[address] = push
         return push
 
-    def forget(self, addresses):
+    def close_others(self, addresses):
         """Close the connections to all but some addresses.
 
         Args:
--- a/thornport/peers/bus_test.py
+++ b/thornport/peers/bus_test.py
@@ -117,7 +117,7 @@
             each.bind("127.0.0.1", 0)
             self.addCleanup(each.close)
         self.receiver.start("b", lambda sender, address, ping: self.got.append(ping))
-        host, port = self.receiver.bound_to.split(":")
+        host, port = self.receiver.bound_address.split(":")
         self.forwarder = Forwarder((host, int(port)))
         self.addCleanup(self.forwarder.close)
 
--- a/thornport/routing/lender.py
+++ b/thornport/routing/lender.py
@@ -97,7 +97,7 @@
             return
         for address, handed_by_id in handoff.by_backend.items():
             self._import_loans(address, handed_by_id, now)
-        self._settling.take_word(sender_id)
+        self._settling.mark_answered(sender_id)
         self._settle_if_done(now)
 
     def _import_loans(self, address, handed_by_id, now):
