--- a/thornport/cell/decisions/core_test.py
+++ b/thornport/cell/decisions/core_test.py
@@ -1,6 +1,6 @@
-"""The owner's decisions against workers that lose, delay and repeat.
+"""Tests of the owner's decisions in single cases.
 
-The world of these tests, and what is checked at each start, are in tests.cellworld.
+tests.cellworld has the simulated cell and the checks made at each start.
 """
 
 import random
@@ -13,11 +13,11 @@
 from thornport.jobs import record, spec
 
 
-class CalmCell(unittest.TestCase):
-    """Nothing goes wrong."""
+class FaultlessCell(unittest.TestCase):
+    """A cell in which no call is lost or late unless a test causes it."""
 
     def setUp(self):
-        # The slowest clock that the users allow: leases last longest there.
+        # The slowest clock rate that users allow; leases last longest with it.
         self.world = cellworld.World(
             cellworld.Faults(random.Random(1)), clock_rate=0.98
         )
@@ -46,14 +46,14 @@
         self.world.run(4)
         self.assertEqual(self.world.read_states()["gang"], "succeeded")
 
-    def test_job_that_is_being_kept_starts_only_once_it_is_accepted(self):
+    def test_incoming_job_starts_only_once_it_is_accepted(self):
         self.world.run(0.1)
-        kept = cellworld.make_job("i", cellworld.make_step(1, 4, 300))
-        self.world.owner.take_incoming(kept, self.world.now)
+        job_record = cellworld.make_job("i", cellworld.make_step(1, 4, 300))
+        self.world.owner.take_incoming(job_record, self.world.now)
         self.world.run(0.5)
         live = [w.started for w in self.world.workers_by_id.values()]
         self.assertEqual(live, [[], [], []])
-        self.world.submit(kept)
+        self.world.submit(job_record)
         self.world.run(1)
         self.assertEqual(self.world.read_states(), {"i": "succeeded"})
 
@@ -62,15 +62,15 @@
         self.world.is_store_away = True
         self.world.submit(cellworld.make_job("l", cellworld.make_step(1, 4, 300)))
         self.world.run(0.5)
-        (place,) = [
+        (busy_worker,) = [
             worker_id
             for worker_id, worker in self.world.owner.workers_by_id.items()
             if worker.runs_by_key
         ]
-        self.world.list_worker(place, messages.WorkerState.DRAINING)
+        self.world.list_worker(busy_worker, messages.WorkerState.DRAINING)
         self.world.is_store_away = False
         self.world.run(1)
-        self.assertEqual(self.world.workers_by_id[place].started, [])
+        self.assertEqual(self.world.workers_by_id[busy_worker].started, [])
         self.assertEqual(self.world.read_states(), {"l": "succeeded"})
 
     def test_task_that_always_fails_ends_its_job(self):
@@ -93,10 +93,12 @@
     def test_lost_worker_runs_nothing_until_its_lease_is_over(self):
         self.world.submit(cellworld.make_job("d", cellworld.make_step(1, 60, 60_000)))
         self.world.run(1)
-        place = next(w for w in self.world.workers_by_id.values() if w.active_by_key)
-        # The worker is cut off and runs on: it is not listed, and silent.
-        self.world.owner.drop_worker(place.worker_id, self.world.now)
-        cut = self.world.workers_by_id.pop(place.worker_id)
+        busy_worker = next(
+            w for w in self.world.workers_by_id.values() if w.active_by_key
+        )
+        # The worker is partitioned and keeps running: it is unlisted and silent.
+        self.world.owner.drop_worker(busy_worker.worker_id, self.world.now)
+        cut = self.world.workers_by_id.pop(busy_worker.worker_id)
         cut_at = self.world.now
         while not any(w.active_by_key for w in self.world.workers_by_id.values()):
             cut.advance(self.world.now)
@@ -105,42 +107,48 @@
         self.assertFalse(cut.active_by_key)
         self.assertLess(self.world.now - cut_at, 10.0)
 
-    def test_worker_lost_before_a_takeover_does_not_hold_its_task_for_long(self):
+    def test_task_of_a_worker_lost_before_a_takeover_restarts_soon(self):
         self.world.submit(cellworld.make_job("f", cellworld.make_step(1, 60, 60_000)))
         self.world.run(1)
-        place = next(w for w in self.world.workers_by_id.values() if w.active_by_key)
-        self.world.crash(place.worker_id)
+        busy_worker = next(
+            w for w in self.world.workers_by_id.values() if w.active_by_key
+        )
+        self.world.crash(busy_worker.worker_id)
         self.world.take_over()
         taken_over_at = self.world.now
         while not any(w.active_by_key for w in self.world.workers_by_id.values()):
             self.world.step()
             self.assertLess(self.world.now - taken_over_at, 7.0)
 
-    def test_worker_that_left_as_it_said_gives_its_tasks_back_at_once(self):
+    def test_tasks_of_a_drained_worker_that_left_restart_at_once(self):
         self.world.submit(cellworld.make_job("g", cellworld.make_step(1, 60, 60_000)))
         self.world.run(1)
-        place = next(w for w in self.world.workers_by_id.values() if w.active_by_key)
-        self.world.list_worker(place.worker_id, messages.WorkerState.DRAINING)
+        busy_worker = next(
+            w for w in self.world.workers_by_id.values() if w.active_by_key
+        )
+        self.world.list_worker(busy_worker.worker_id, messages.WorkerState.DRAINING)
         self.world.run(1)
-        self.world.leave(place.worker_id)
+        self.world.leave(busy_worker.worker_id)
         self.world.run(0.5)
         live = [w.active_by_key for w in self.world.workers_by_id.values()]
         self.assertTrue(any(live))
 
-    def test_entry_of_an_ended_life_does_not_end_the_one_that_replaced_it(self):
+    def test_stale_entry_of_a_replaced_worker_does_not_end_its_successor(self):
         self.world.submit(cellworld.make_job("k", cellworld.make_step(1, 60, 60_000)))
         self.world.run(1)
-        place = next(w for w in self.world.workers_by_id.values() if w.active_by_key)
-        known = self.world.owner.workers_by_id[place.worker_id]
-        # All entries are read anew; the ended life's is there until it lapses.
+        busy_worker = next(
+            w for w in self.world.workers_by_id.values() if w.active_by_key
+        )
+        known = self.world.owner.workers_by_id[busy_worker.worker_id]
+        # All entries are read again; that of the ended worker exists until it lapses.
         earlier = msgspec.structs.replace(known.entry, worker_id="zz")
         self.world.owner.take_worker(earlier, known.revision - 1, self.world.now)
         self.world.run(1)
-        self.assertIn(place.worker_id, self.world.owner.workers_by_id)
+        self.assertIn(busy_worker.worker_id, self.world.owner.workers_by_id)
         self.assertNotIn("zz", self.world.owner.workers_by_id)
-        self.assertEqual(len(place.started), 1)
+        self.assertEqual(len(busy_worker.started), 1)
 
-    def test_order_under_an_earlier_token_of_ours_is_given_again(self):
+    def test_command_rejected_for_our_own_newer_token_is_sent_again(self):
         self.world.run(0.1)
         owner = self.world.owner
         owner.take_job(
@@ -148,18 +156,18 @@
         )
         owner.place(self.world.now)
         owner.take_persisted(owner.make_batch(), self.world.now, self.world.now)
-        (order,) = owner.take_commands()
-        # The key ran out and was got back before the worker answered.
+        (command,) = owner.take_commands()
+        # The owner's key expired and was claimed again before the worker answered.
         owner.token += 1
         fenced = messages.Rejected(messages.Rejection.FENCED)
-        owner.take_start_outcome(order, fenced, self.world.now)
+        owner.take_start_outcome(command, fenced, self.world.now)
         self.assertFalse(owner.is_fenced)
         owner.place(self.world.now + 1)
         owner.take_persisted(owner.make_batch(), self.world.now, self.world.now)
         (again,) = owner.take_commands()
         newest = owner.make_token(owner.workers_by_id[again.worker_id])
-        self.assertEqual((again.token, again.run), (newest, order.run + 1))
-        self.assertGreater(again.token, order.token)
+        self.assertEqual((again.token, again.run), (newest, command.run + 1))
+        self.assertGreater(again.token, command.token)
         owner.take_start_outcome(again, fenced, self.world.now)
         self.assertTrue(owner.is_fenced)
 
@@ -176,7 +184,7 @@
             for worker in self.world.workers_by_id.values()
             for key in worker.active_by_key
         }
-        # One ends within the time that is left, one can't, one serves on.
+        # One task ends before its worker leaves, one can't, one is lasting.
         for job_id in ("s", "t", "u"):
             self.world.list_worker(places[job_id].worker_id, draining, 3000)
         self.world.run(0.5)
@@ -187,7 +195,7 @@
         }
         self.assertEqual(left, {"t", "u"})
 
-    def test_entries_that_lapsed_with_the_store_away_hold_up_no_starts(self):
+    def test_entries_that_lapsed_in_a_store_outage_block_no_starts(self):
         self.world.run(0.1)
         owner = self.world.owner
         for worker_id in ("w0", "w1", "w2"):
@@ -196,12 +204,12 @@
         self.world.submit(cellworld.make_job("v", cellworld.make_step(3, 60, 200)))
         self.world.run(0.5)
         self.assertEqual(self.world.read_states(), {"v": "succeeded"})
-        # Those that are missing after a while are gone.
+        # Workers whose entries stay missing for a while count as gone.
         self.world.run(3)
         listed = {w.worker_id for w in owner.workers_by_id.values() if w.is_listed}
         self.assertEqual(listed, {"w0"})
 
-    def test_work_that_fills_is_kept_from_work_that_serves(self):
+    def test_filling_tasks_avoid_workers_with_serving_tasks(self):
         fills = cellworld.make_step(6, 2, 60_000, lasting=True, fills=True)
         serves = cellworld.make_step(2, 2, 60_000, lasting=True, tail_target_ms=40)
         self.world.submit(cellworld.make_job("h", serves))
@@ -213,7 +221,7 @@
             jobs = {key.job_id for key in worker.active_by_key}
             self.assertFalse("h" in jobs and len(jobs) > 1)
 
-    def test_steps_that_no_worker_may_run_hold_up_no_others(self):
+    def test_steps_that_no_worker_may_run_block_no_others(self):
         for number in range(core.MAX_PASS_STEPS + 10):
             step = cellworld.make_step(1, 1, 100, label="no worker has this")
             self.world.submit(cellworld.make_job(f"n{number}", step))
@@ -223,7 +231,7 @@
         self.world.run(2)
         self.assertEqual(self.world.read_states()["plain"], "succeeded")
 
-    def test_tasks_that_stand_still_go_to_another_worker(self):
+    def test_stalled_tasks_move_to_another_worker(self):
         self.world.submit(cellworld.make_job("k", cellworld.make_step(2, 30, 4000)))
         self.world.run(1)
         hung = next(w for w in self.world.workers_by_id.values() if w.active_by_key)
@@ -232,7 +240,7 @@
         self.assertFalse(hung.active_by_key)
         others = self.world.workers_by_id.values()
         self.assertEqual(sum(len(w.active_by_key) for w in others), 2)
-        # It gets little as long as what it was given stood still.
+        # The worker gets few starts while what it was given stalls.
         for number in range(20):
             self.world.submit(
                 cellworld.make_job(f"k{number}", cellworld.make_step(1, 1, 200))
@@ -240,8 +248,8 @@
             self.world.run(0.2)
         self.assertLess(len(hung.started), 2 + 10)
 
-    def test_gang_that_stands_still_for_long_keeps_no_worker_from_being_looked_at(self):
-        # A gang is not stopped for it: all its members would lose their work.
+    def test_gang_that_stalls_for_long_does_not_prevent_polls(self):
+        # A stalled gang is not stopped: all its members would lose their work.
         self.world.submit(
             cellworld.make_job("g", cellworld.make_step(3, 60, 20_000, gang=True))
         )
@@ -251,12 +259,12 @@
         self.world.run(70)
         self.assertEqual(self.world.read_states(), {"g": "running"})
 
-    def test_successor_reads_little_of_jobs_that_are_over(self):
+    def test_successor_reads_only_closing_records_of_ended_jobs(self):
         step = cellworld.make_step(2, 4, 200, gang=True)
-        kept = cellworld.make_job("m", step)
-        self.assertTrue(self.world.owner.take_job(kept, self.world.now))
-        self.assertFalse(self.world.owner.take_job(kept, self.world.now))
-        self.world.submit(kept)
+        job_record = cellworld.make_job("m", step)
+        self.assertTrue(self.world.owner.take_job(job_record, self.world.now))
+        self.assertFalse(self.world.owner.take_job(job_record, self.world.now))
+        self.world.submit(job_record)
         self.world.submit(cellworld.make_job("n", cellworld.make_step(2, 4, 60_000)))
         self.world.run(1)
         self.world.cancel("n")
@@ -268,14 +276,14 @@
         states = self.world.read_states()
         self.assertEqual(states, {"m": "succeeded", "n": "cancelled"})
 
-    def test_job_that_comes_again_during_a_takeover_does_not_run_again(self):
-        kept = cellworld.make_job("p", cellworld.make_step(1, 4, 200))
-        self.world.submit(kept)
+    def test_job_resubmitted_during_a_takeover_does_not_run_again(self):
+        job_record = cellworld.make_job("p", cellworld.make_step(1, 4, 200))
+        self.world.submit(job_record)
         self.world.run(1)
         owner = core.CellCore(9, self.world.now, self.world.now + 17.0, 120.0)
         owner.start_reading()
-        # The caller sends it again; the process that takes it tells the successor.
-        owner.take_incoming(kept, self.world.now)
+        # The caller resubmits it; the process that accepts it notifies the successor.
+        owner.take_incoming(job_record, self.world.now)
         owner.accept_incoming("p", self.world.now)
         new = cellworld.make_job("q", cellworld.make_step(1, 4, 200))
         owner.take_incoming(new, self.world.now)
@@ -308,13 +316,13 @@
         owner.take_persisted(second, self.world.now, self.world.now)
         self.assertEqual(worker.acked_number, 1)
 
-    def test_cancel_that_a_peer_tells_during_a_takeover_holds(self):
-        kept = cellworld.make_job("w", cellworld.make_step(1, 4, 60_000))
-        self.world.submit(kept)
+    def test_cancel_reported_by_a_peer_during_a_takeover_takes_effect(self):
+        job_record = cellworld.make_job("w", cellworld.make_step(1, 4, 60_000))
+        self.world.submit(job_record)
         self.world.run(1)
         owner = core.CellCore(9, self.world.now, self.world.now + 17.0, 120.0)
         owner.start_reading()
-        owner.take_job(kept, self.world.now)
+        owner.take_job(job_record, self.world.now)
         owner.take_cancel("w", self.world.now)
         progress = record.decode_progress(self.world.progress_by_id["w"])
         owner.restore_progress("w", progress, self.world.now)
@@ -323,7 +331,7 @@
         owner.take_persisted(batch, self.world.now, self.world.now)
         self.assertEqual(owner.read_state("w"), record.JobState.CANCELLED)
 
-    def test_nothing_but_the_state_is_held_of_jobs_that_are_over(self):
+    def test_only_the_state_of_ended_jobs_stays_in_memory(self):
         self.world.submit(cellworld.make_job("l", cellworld.make_step(3, 4, 200)))
         self.world.submit(
             cellworld.make_job("m", cellworld.make_step(4, 4, 200, gang=True))
--- a/thornport/cell/decisions/lateends_test.py
+++ b/thornport/cell/decisions/lateends_test.py
@@ -1,8 +1,8 @@
-"""Ends that a worker tells after it was silent for longer than its lease.
+"""Tests of ends that a worker reports after a silence longer than its lease.
 
-By then its tasks have gone back and may run elsewhere. An end that is taken in is noted
-at the worker, which tells it no more, so it has to count. The world checks that nothing
-starts after an end `done` was noted.
+By then its tasks are waiting again or run elsewhere. A worker does not report an
+acknowledged end again, so the end has to count. The simulated cell checks that a task
+does not start after an end `done` was acknowledged.
 """
 
 import itertools
@@ -12,14 +12,14 @@
 from tests import cellworld
 
 RUN_MS = 3000  # less than a lease
-LONG_CUT_S = 15.0  # longer than leases and the time that an owner waits beyond them
+LONG_CUT_S = 15.0  # longer than a lease and the owner's wait beyond it
 
 
 class LateEnds(unittest.TestCase):
-    """A worker is cut off while its tasks run, and comes back."""
+    """A worker is partitioned while its tasks run, and becomes reachable again."""
 
-    def begin(self, *steps, **more):
-        """Begin a job, and cut off the worker that runs its first tasks.
+    def start_and_cut_off(self, *steps, **more):
+        """Start a job, and partition the worker that runs its first tasks.
 
         Returns:
           The World, and the id of the worker.
@@ -29,36 +29,36 @@
         world.run(0.1)
         world.submit(cellworld.make_job("a", *steps))
         world.run(0.5)
-        (place,) = self.find_places(world)
-        world.cut.add(place)
-        return world, place
+        (cut_id,) = self.find_busy_ids(world)
+        world.cut.add(cut_id)
+        return world, cut_id
 
-    def find_places(self, world):
-        """The ids of the workers that run something."""
+    def find_busy_ids(self, world):
+        """Return the ids of the workers that run tasks."""
         workers = world.workers_by_id.values()
         return [worker.worker_id for worker in workers if worker.active_by_key]
 
-    def run_until_elsewhere(self, world, place):
-        """Let time pass until another worker runs something; returns its id."""
+    def run_until_elsewhere(self, world, cut_id):
+        """Run until another worker runs a task; return that worker's id."""
         for _ in range(int(LONG_CUT_S / cellworld.STEP_S)):
             world.step()
-            others = set(self.find_places(world)) - {place}
+            others = set(self.find_busy_ids(world)) - {cut_id}
             if others:
                 return others.pop()
         raise AssertionError("nothing started elsewhere")
 
     def count_starts(self, world):
-        """How many starts were carried out."""
-        lives = [*world.workers_by_id.values(), *world.ended_lives]
-        return sum(len(life.started) for life in lives)
+        """Count the starts that were carried out."""
+        incarnations = [*world.workers_by_id.values(), *world.ended_lives]
+        return sum(len(incarnation.started) for incarnation in incarnations)
 
     def test_task_that_was_done_and_waits_does_not_start_again(self):
         for gang in (False, True):
             with self.subTest(gang=gang):
                 step = cellworld.make_step(2, 20, RUN_MS, gang=gang)
-                world, place = self.begin(step, worker_count=1)
+                world, cut_id = self.start_and_cut_off(step, worker_count=1)
                 world.run(LONG_CUT_S)
-                world.reach_again(place)
+                world.reach_again(cut_id)
                 world.run(5)
                 self.assertEqual(world.read_states(), {"a": "succeeded"})
                 self.assertEqual(self.count_starts(world), 2)
@@ -67,11 +67,11 @@
         for gang, is_lost in itertools.product((False, True), repeat=2):
             with self.subTest(gang=gang, is_lost=is_lost):
                 step = cellworld.make_step(2, 20, RUN_MS, gang=gang)
-                world, place = self.begin(step)
-                other = self.run_until_elsewhere(world, place)
-                world.reach_again(place)
+                world, cut_id = self.start_and_cut_off(step)
+                other = self.run_until_elsewhere(world, cut_id)
+                world.reach_again(cut_id)
                 world.run(0.5)
-                self.assertEqual(self.find_places(world), [])
+                self.assertEqual(self.find_busy_ids(world), [])
                 if is_lost:
                     world.crash_for_a_while(other)
                 world.run(20)
@@ -80,29 +80,29 @@
     def test_next_step_begins_once(self):
         first = cellworld.make_step(2, 20, RUN_MS)
         after = cellworld.make_step(1, 20, 500, after=(0,))
-        world, place = self.begin(first, after)
-        self.run_until_elsewhere(world, place)
-        world.reach_again(place)
+        world, cut_id = self.start_and_cut_off(first, after)
+        self.run_until_elsewhere(world, cut_id)
+        world.reach_again(cut_id)
         world.run(10)
         self.assertEqual(world.read_states(), {"a": "succeeded"})
         starts = [
             key.step
-            for life in world.workers_by_id.values()
-            for key, _, _ in life.started
+            for incarnation in world.workers_by_id.values()
+            for key, _, _ in incarnation.started
         ]
         self.assertEqual(starts.count(1), 1)
 
-    def test_successor_is_told_too(self):
+    def test_late_end_reported_to_a_successor_counts(self):
         step = cellworld.make_step(2, 20, RUN_MS)
-        world, place = self.begin(step)
-        self.run_until_elsewhere(world, place)
+        world, cut_id = self.start_and_cut_off(step)
+        self.run_until_elsewhere(world, cut_id)
         world.take_over()
-        world.reach_again(place)
+        world.reach_again(cut_id)
         world.run(20)
         self.assertEqual(world.read_states(), {"a": "succeeded"})
 
-    def test_successor_that_is_told_of_a_step_that_was_done_goes_on(self):
-        # Two waves: the ends of the first are noted before the step is done.
+    def test_successor_completes_a_job_at_whatever_time_it_takes_over(self):
+        # Two waves: ends of the first are acknowledged before the step is done.
         first = cellworld.make_step(5, 50, 500)
         after = cellworld.make_step(1, 20, 500, after=(0,))
         for steps in range(1, 50):
@@ -118,20 +118,20 @@
 
     def test_cancelled_job_stays_cancelled(self):
         step = cellworld.make_step(2, 20, RUN_MS)
-        world, place = self.begin(step)
-        self.run_until_elsewhere(world, place)
+        world, cut_id = self.start_and_cut_off(step)
+        self.run_until_elsewhere(world, cut_id)
         world.cancel("a")
-        world.reach_again(place)
+        world.reach_again(cut_id)
         world.run(10)
         self.assertEqual(world.read_states(), {"a": "cancelled"})
 
-    def test_workers_that_come_and_go_at_random(self):
+    def test_random_cuts_and_takeovers_lose_no_job(self):
         for seed in range(12):
             with self.subTest(seed=seed):
                 self.check_random(random.Random(seed))
 
     def check_random(self, rng):
-        """Cut off workers for about as long as their leases, again and again."""
+        """Partition workers repeatedly for about as long as their leases."""
         world = cellworld.World(cellworld.Faults(rng), looks_wait=True)
         for number in range(4):
             gang = rng.random() < 0.3
--- a/thornport/cell/decisions/model.py
+++ b/thornport/cell/decisions/model.py
@@ -122,7 +122,7 @@
     """An incarnation of a worker.
 
     Attributes:
-      entry: Its messages.WorkerEntry; that of an earlier incarnation until then.
+      entry: Its messages.WorkerEntry; until that comes, an earlier incarnation's.
       started_at_ms: An int, when it started, by its answers once it is heard; None if
         it does not state that.
       fence: An int, higher than that of each incarnation before; see `incarnations`.
--- a/thornport/cell/decisions/repeating_test.py
+++ b/thornport/cell/decisions/repeating_test.py
@@ -1,10 +1,10 @@
-"""Jobs that run again and again by the clock, and owners that follow one another.
+"""Tests of jobs that repeat by the clock, and of takeovers among their runs.
 
-Users saw accepted jobs stand still with most of the room free, on some days after all
-processes had lost their power at once. A record names the steps of a time that have
-begun. A successor made those alone, so a step that was to begin after them never was
-there, and the end of the one before it was an error each time it was told. Where the
-first step had not begun, but another had, the time began anew under what ran.
+After a power loss of all processes, accepted jobs stalled with most of the capacity
+free. A record names only the steps of a time that have begun. A successor restored just
+these, so later steps never existed, and each report of the end of the step before them
+was an error. If another step had begun but not the first, the time began again while
+its tasks ran.
 """
 
 import random
@@ -15,25 +15,25 @@
 
 INTERVAL_MS = 4000
 TIMES = 2
-CORES = 50  # more than half a worker: each member of a gang is at another
+CORES = 50  # over half a worker, so the members of a gang run on different workers
 
 
 def make_world(worker_count=1):
-    """Make a world in which the owner has heard the workers."""
+    """Make a simulated cell whose owner has heard the workers."""
     world = cellworld.World(cellworld.Faults(random.Random(1)), worker_count)
     world.run(0.2)
     return world
 
 
 def submit(world, *steps):
-    """Hand in a job whose first time is due now."""
+    """Submit a job whose first time is due now."""
     first_at_ms = int(world.now * 1000)
     job = spec.Job("text", steps, TIMES, first_at_ms, INTERVAL_MS)
     world.submit(record.JobRecord("a", cellworld.QUEUE, job, 0))
 
 
 def count_starts(world):
-    """Count the starts at all workers of a world's present lives."""
+    """Count the starts at the present incarnations of all workers."""
     return sum(len(worker.started) for worker in world.workers_by_id.values())
 
 
@@ -41,7 +41,7 @@
     """A successor reads the record of a job of which some steps have begun."""
 
     def check_ends(self, run_ms, seconds):
-        """A job of which the first step has run for so long ends under a successor."""
+        """Check that a job taken over after some seconds ends under the successor."""
         world = make_world()
         later = cellworld.make_step(1, 8, 500, after=(0,))
         submit(world, cellworld.make_step(1, 8, run_ms), later)
@@ -51,13 +51,13 @@
         self.assertEqual(world.read_states(), {"a": "succeeded"})
         self.assertEqual(count_starts(world), 2 * TIMES)
 
-    def test_steps_after_the_one_that_runs_are_there(self):
+    def test_steps_after_the_running_one_are_restored(self):
         self.check_ends(1000, 0.5)
 
     def test_times_that_overlap_have_all_their_steps(self):
         self.check_ends(6000, 5)
 
-    def test_step_that_runs_beside_a_first_one_that_waits_goes_on(self):
+    def test_step_running_beside_a_waiting_first_step_continues(self):
         world = make_world(worker_count=2)
         world.submit(cellworld.make_job("fill", cellworld.make_step(2, 40, 3000)))
         world.run(0.3)
@@ -71,7 +71,7 @@
 
 
 class Gangs(unittest.TestCase):
-    """The members of a gang end together, and are told of one after the other."""
+    """The members of a gang end together but are reported one by one."""
 
     def test_time_counts_once_its_last_member_is_gone(self):
         world = make_world(worker_count=2)
@@ -79,7 +79,7 @@
         world.run(8)
         self.assertEqual(world.read_states(), {"a": "succeeded"})
 
-    def test_it_counts_for_a_successor_that_finds_members_live(self):
+    def test_time_counts_for_a_successor_that_finds_live_members(self):
         world = make_world(worker_count=2)
         submit(world, cellworld.make_step(2, 40, 500, gang=True))
         world.run(4.3)
@@ -92,10 +92,10 @@
 
 
 class Repeats(unittest.TestCase):
-    """A job of a few times in a cell in which nothing goes wrong."""
+    """A repeating job in a cell without faults."""
 
     def run_job(self, *steps):
-        """Run a job for long enough; returns its starts by time and step."""
+        """Run a job to its end; return its number of starts by time and step."""
         world = cellworld.World(cellworld.Faults(random.Random(1)), looks_wait=True)
         submit(world, *steps)
         world.run(TIMES * INTERVAL_MS / 1000 + 10.0)
@@ -111,12 +111,12 @@
         counts = self.run_job(cellworld.make_step(2, CORES, 500))
         self.assertEqual(counts, {(0, 0): 2, (1, 0): 2})
 
-    def test_gang_at_several_workers_ends_the_last_time_too(self):
-        """The members end one after the other, and the first end stands for all."""
+    def test_gang_on_several_workers_completes_the_last_time(self):
+        """The members end one by one, and the first end counts for all."""
         counts = self.run_job(cellworld.make_step(3, CORES, 500, gang=True))
         self.assertEqual(counts, {(0, 0): 3, (1, 0): 3})
 
-    def test_step_after_a_gang(self):
+    def test_step_after_a_gang_runs_at_each_time(self):
         gang = cellworld.make_step(2, CORES, 500, gang=True)
         after = cellworld.make_step(1, 1, 100, after=(0,))
         counts = self.run_job(gang, after)
--- a/thornport/cell/decisions/troubles_test.py
+++ b/thornport/cell/decisions/troubles_test.py
@@ -1,7 +1,7 @@
-"""The owner's decisions under any mix of trouble, drawn anew for each run.
+"""Tests of the owner's decisions under random mixes of faults.
 
-`core_test` and `lives_test` say what is to come of single cases. The world of these
-tests, and what is checked at each start, are in tests.cellworld.
+`core_test` and `incarnations_test` cover single cases. tests.cellworld has the
+simulated cell and the checks made at each start.
 """
 
 import random
@@ -14,8 +14,8 @@
 from thornport.jobs import record
 
 
-class TroubledCell(unittest.TestCase):
-    """Answers are lost, orders come late, owners and workers change."""
+class FaultyCell(unittest.TestCase):
+    """Answers are lost, commands are late, owners are replaced, workers crash."""
 
     @settings(max_examples=60, deadline=None)
     @given(
@@ -25,7 +25,7 @@
         failing=st.sampled_from([0.0, 0.1]),
         clock_rate=st.sampled_from([1.0, 0.98]),
     )
-    def test_promises(self, seed, lost, late, failing, clock_rate):
+    def test_guarantees_hold(self, seed, lost, late, failing, clock_rate):
         rng = random.Random(seed)
         world = cellworld.World(
             cellworld.Faults(rng, lost, late, failing), 4, clock_rate
@@ -59,8 +59,8 @@
                 self.assertIn(job_id, world.cancelled)
 
 
-class AnyRestarts(unittest.TestCase):
-    """Restarts among cuts, late writes, lost answers, owners that are replaced."""
+class RandomRestarts(unittest.TestCase):
+    """Restarts mixed with partitions, late writes, lost answers and takeovers."""
 
     @settings(max_examples=150, deadline=None)
     @given(
@@ -71,7 +71,7 @@
         looks_wait=st.booleans(),
         keeps_id=st.sampled_from([0.0, 0.5, 1.0]),
     )
-    def test_promises(self, seed, lost, late, failing, looks_wait, keeps_id):
+    def test_guarantees_hold(self, seed, lost, late, failing, looks_wait, keeps_id):
         rng = random.Random(seed)
         faults = cellworld.Faults(rng, lost, late, failing, late_s=(0.3, 1.5))
         world = cellworld.World(faults, 4, rng.choice([1.0, 0.98]), looks_wait)
@@ -84,7 +84,7 @@
             )
             world.submit(cellworld.make_job(f"j{number}", step))
             world.run(rng.uniform(0.05, 1.5))
-            self.strike(world, rng, keeps_id)
+            self.inject_fault(world, rng, keeps_id)
             world.is_store_away = rng.random() < 0.2
             world.run(rng.uniform(0.0, 1.0))
             world.is_store_away = False
@@ -99,8 +99,8 @@
         finals = {"succeeded", "failed"}
         self.assertLessEqual(set(world.read_states().values()), finals)
 
-    def strike(self, world, rng, keeps_id):
-        """Let one worker restart, be cut off, or have an entry that is late."""
+    def inject_fault(self, world, rng, keeps_id):
+        """Restart a worker, also behind a partition, or write a stale entry of it."""
         worker_id = rng.choice(sorted(world.workers_by_id))
         earlier, _ = world.entries_by_id.get(worker_id, (None, None))
         kind = rng.choice(["at once", "for a while", "behind a cut", "none"])
