--- a/thornport/store/backoff.py
+++ b/thornport/store/backoff.py
@@ -1,8 +1,8 @@
-"""When a call that the store did not answer is made again.
+"""Exponential backoff with jitter for calls that the store did not answer.
 
-Retries at a fixed pace keep an overload up: the store goes on with calls that were
-given up, and the next ones of all processes come in step. So delays grow and are drawn
-at random, and a caller that knows whether the store answers waits until it does.
+Retries at a fixed interval sustain an overload: the store keeps processing calls that
+timed out, and the retries of all processes arrive in step. Delays therefore grow and
+are random, and a client that tracks the store's health waits until it recovers.
 """
 
 import functools
@@ -12,41 +12,41 @@
 
 FIRST_DELAY_S = 0.1
 MAX_DELAY_S = 0.5
-GROWTH = 2.0
-LEAST_SHARE = 0.5  # of a delay that is waited in any case
+DELAY_GROWTH = 2.0
+MIN_DELAY_SHARE = 0.5  # the random delay is at least this share of the full one
 
 
 class Backoff:
-    """The delays of one series of calls."""
+    """The retry delays of one series of calls."""
 
     __slots__ = ("_delay_s",)
 
     def __init__(self):
-        """Begin with the shortest delay."""
+        """Start with the shortest delay."""
         self._delay_s = FIRST_DELAY_S
 
     def draw_delay_s(self):
-        """Draw the delay after a failed call; the next one is longer.
+        """Draw the delay after a failed call and increase the next one.
 
         Returns:
           A float, seconds.
         """
-        delay_s = self._delay_s * random.uniform(LEAST_SHARE, 1.0)
-        self._delay_s = min(MAX_DELAY_S, GROWTH * self._delay_s)
+        delay_s = self._delay_s * random.uniform(MIN_DELAY_SHARE, 1.0)
+        self._delay_s = min(MAX_DELAY_S, DELAY_GROWTH * self._delay_s)
         return delay_s
 
     def reset(self):
-        """Take that a call was answered."""
+        """Return to the shortest delay after an answered call."""
         self._delay_s = FIRST_DELAY_S
 
 
 @functools.singledispatch
-async def rest(store, reactor, backoff):
-    """Wait until a call may be made again.
+async def wait_to_retry(store, reactor, backoff):
+    """Wait before a failed call is retried.
 
     Args:
-      store: A store client; one that knows whether the store answers registers its own.
+      store: A store client; one that tracks the store's health registers its own wait.
       reactor: Twisted's reactor.
-      backoff: The Backoff of the caller.
+      backoff: The caller's Backoff.
     """
     await tasks.sleep(reactor, backoff.draw_delay_s())
--- a/thornport/store/client.py
+++ b/thornport/store/client.py
@@ -1,4 +1,4 @@
-"""The key-value service over HTTP, by the published interface of Consul's KV.
+"""HTTP client of the key-value service, which has the interface of Consul's KV.
 
 Reads are `GET /v1/kv/KEY`, a watch is the same with `index` and `wait`
 (a blocking query), a write is `PUT /v1/kv/KEY?cas=INDEX`.
@@ -39,17 +39,17 @@
 
 
 class StoreClient:
-    """Calls the service; counts its calls."""
+    """Calls the key-value service and counts the calls."""
 
     __slots__ = ("_base", "_metrics", "_reactor", "_timeout_s", "_treq")
 
     def __init__(self, reactor, url, timeout_s, metrics):
-        """Prepare a client with a kept connection pool.
+        """Prepare a client with a persistent connection pool.
 
         Args:
           reactor: Twisted's reactor.
           url: A str, `http://IP:PORT`.
-          timeout_s: A float, the longest wait for an answer, seconds.
+          timeout_s: A float, how long to wait for an answer, seconds.
           metrics: A metrics.Metrics.
         """
         pool = webclient.HTTPConnectionPool(reactor, persistent=True)
@@ -67,17 +67,17 @@
         Args:
           key: A str.
         Returns:
-          A Result of Item, absent keys included, or Unavailable.
+          A Result of Item, which may be absent, or Unavailable.
         """
         self._metrics.count("store.reads")
         return await self._read(key, {}, self._timeout_s)
 
     async def watch(self, key, index, wait_s):
-        """Wait for a key to change from an index.
+        """Wait for a key to change after an index.
 
         Args:
           key: A str.
-          index: An int, the index last seen.
+          index: An int, the last index read.
           wait_s: A float, the longest wait, seconds.
         Returns:
           A Result of Item, which may be unchanged, or Unavailable.
@@ -99,15 +99,15 @@
         return answer.map(lambda items: {i.key: decode_item(i) for i in items})
 
     async def compare_and_swap(self, key, value, index):
-        """Write a key if it has not changed since an index.
+        """Write a key unless it has changed since an index.
 
         Args:
           key: A str.
           value: Bytes.
           index: An int; ABSENT_INDEX to create.
         Returns:
-          A Result of the Item written, with an index no higher than the one
-          it has in the service, or Conflict, Unavailable or Ambiguous.
+          A Result of the Item written, whose index is at most the one in the
+          service, or Conflict, Unavailable or Ambiguous.
         """
         self._metrics.count("store.writes")
         try:
@@ -121,8 +121,8 @@
         except NOT_SENT_ERRORS as error:
             return result.Failure(port.Unavailable(str(error)))
         except Exception as error:
-            # Twisted wraps what ends a request in many ways. All of them
-            # leave open whether the service has applied the write.
+            # Twisted reports a failed request by many exception types. None of
+            # them shows whether the service has applied the write.
             return result.Failure(port.Ambiguous(str(error)))
         if response.code != HTTP_OK:
             return result.Failure(port.Ambiguous(f"status {response.code}"))
@@ -133,7 +133,7 @@
 
     async def _read(self, key, params, timeout_s):
         answer = await self._fetch(key, params, timeout_s)
-        return answer.map(lambda items: first_item(items))
+        return answer.map(lambda items: decode_first_item(items))
 
     async def _fetch(self, key, params, timeout_s):
         try:
@@ -153,13 +153,13 @@
             return result.Failure(port.Unavailable(f"bad answer: {error}"))
 
 
-def first_item(items):
-    """Take the first element of an answer.
+def decode_first_item(items):
+    """Decode the first element of an answer.
 
     Args:
       items: A list of WireItem.
     Returns:
-      An Item, absent if the list is empty.
+      An Item, with ABSENT_INDEX if the list is empty.
     """
     if not items:
         return port.Item(b"", port.ABSENT_INDEX)
--- a/thornport/store/health_test.py
+++ b/thornport/store/health_test.py
@@ -1,4 +1,4 @@
-"""When the store counts as away."""
+"""Detection of an unavailable store from the outcomes of calls."""
 
 import unittest
 from unittest import mock
@@ -13,18 +13,18 @@
 
 
 class FakeStore:
-    """Answers when told."""
+    """Answers its calls when the test says so."""
 
     def __init__(self):
         self.waiting = []
 
     def read_key(self, key):
-        """Read a key, some time."""
+        """Read a key; the answer is left open."""
         self.waiting.append(defer.Deferred())
         return self.waiting[-1]
 
     def watch(self, prefix, after_revision, wait_ms, on_bytes=None):
-        """Watch a prefix, some time."""
+        """Watch a prefix; the answer is left open."""
         return self.read_key(prefix)
 
     def answer(self, outcome):
@@ -32,8 +32,8 @@
         self.waiting.pop(0).callback(outcome)
 
 
-class Away(unittest.TestCase):
-    """Calls that are answered, fail, or stay open."""
+class Availability(unittest.TestCase):
+    """Calls that are answered, fail or stay open."""
 
     def setUp(self):
         self.now = 50.0
@@ -55,7 +55,7 @@
         """Answer the oldest call."""
         self.fake.answer(result.Success(transactions.Item("k", b"", 0)))
 
-    def test_store_that_answers_slowly_is_not_away(self):
+    def test_slow_store_may_be_silent_for_longer(self):
         self.call()
         self.now += 0.34
         self.succeed()
@@ -65,7 +65,7 @@
         self.now += 0.5
         self.assertTrue(self.store.is_unavailable())
 
-    def test_slowness_is_forgotten_by_fast_answers(self):
+    def test_fast_answers_shorten_the_allowed_silence(self):
         self.call()
         self.now += 0.34
         self.succeed()
@@ -73,38 +73,39 @@
             self.call()
             self.succeed()
         self.call()
-        self.now += health.SILENT_S + 0.01
+        self.now += health.MAX_SILENCE_S + 0.01
         self.assertTrue(self.store.is_unavailable())
 
-    def test_one_refused_call_is_not_enough(self):
+    def test_store_is_available_after_one_refused_call(self):
         self.call()
         self.fail()
         self.assertFalse(self.store.is_unavailable())
 
-    def test_failing_for_a_while_is_away_until_one_is_answered(self):
+    def test_store_is_unavailable_from_repeated_failure_to_an_answer(self):
         self.call()
         self.fail()
-        self.now += health.AWAY_S + 0.01
+        self.now += health.MAX_FAILING_S + 0.01
         self.assertTrue(self.store.is_unavailable())
         self.call()
         self.succeed()
         self.assertFalse(self.store.is_unavailable())
 
-    def test_open_call_is_away_after_a_while(self):
+    def test_store_is_unavailable_when_a_call_stays_open(self):
         self.call()
         self.assertFalse(self.store.is_unavailable())
-        self.now += health.SILENT_S + 0.01
+        self.now += health.MAX_SILENCE_S + 0.01
         self.assertTrue(self.store.is_unavailable())
 
     def test_open_call_does_not_count_while_others_are_answered(self):
         self.call()
         self.call()
-        self.now += health.SILENT_S + 0.01
+        self.now += health.MAX_SILENCE_S + 0.01
         self.fake.waiting.reverse()
         self.succeed()
         self.assertFalse(self.store.is_unavailable())
 
-    # A link froze, the store fell silent, and at the thaw it counted as back for 0.5 s.
+    # A watch answer, delayed by a frozen link, made a silent store count as available
+    # for 0.5 s.
     def test_delayed_watch_answer_does_not_end_an_outage(self):
         change = transactions.Change("k", b"", 2)
         for changes in ([change], []):
@@ -115,28 +116,28 @@
                 self.call()
                 self.fake.waiting.reverse()
                 self.fail()
-                self.now += health.AWAY_S + 0.01
+                self.now += health.MAX_FAILING_S + 0.01
                 self.fake.answer(result.Success(transactions.Changes(changes, 2)))
                 self.assertTrue(self.store.is_unavailable())
 
-    def test_watch_that_is_answered_ends_an_outage(self):
+    def test_answered_watch_ends_an_outage(self):
         self.call()
         self.fail()
-        self.now += health.AWAY_S + 0.01
+        self.now += health.MAX_FAILING_S + 0.01
         tasks.spawn(self.store.watch("k", 1, 0), "watch")
         self.assertTrue(self.store.is_unavailable())
         self.fake.answer(result.Success(transactions.Changes([], 2)))
         self.assertFalse(self.store.is_unavailable())
         self.assertTrue(self.store.has_answered_within(1.0))
 
-    def test_answer_is_recent_for_a_while_and_until_the_store_is_away(self):
+    def test_answer_is_recent_for_a_while_unless_calls_fail(self):
         self.assertFalse(self.store.has_answered_within(1.0))
         self.call()
         self.succeed()
         self.assertTrue(self.store.has_answered_within(1.0))
         self.call()
         self.fail()
-        self.now += health.AWAY_S + 0.01
+        self.now += health.MAX_FAILING_S + 0.01
         self.assertFalse(self.store.has_answered_within(1.0))
         self.call()
         self.succeed()
--- a/thornport/store/overload_test.py
+++ b/thornport/store/overload_test.py
@@ -1,8 +1,8 @@
-"""A store that was overloaded answers all processes again, in simulated time.
+"""A store recovers from an overload and answers all processes, in simulated time.
 
-Each process probes it and follows two keys, as a scheduler does. The store answers in
-order at a fixed rate, also calls that were given up, and a new connection costs it as
-much as two calls.
+Each process probes the store and follows two keys, as a scheduler does. The store
+answers in order at a fixed rate, including calls that timed out, and a new connection
+costs it as much as two calls.
 """
 
 import collections
@@ -16,40 +16,40 @@
 from thornport.kernel import clock, logs
 from thornport.store import health, port, probing, transactions, watching
 
-CALL_S = 0.6
-LATE_S = 4.0
-MAX_LATE = 8
+CALL_TIMEOUT_S = 0.6
+LATE_TIMEOUT_S = 4.0
+MAX_LATE_CALLS = 8
 STEP_S = 0.02
-CALM_S = 6.0  # until all processes have connections and read what they follow
-SLOW_S = 3.0
-SLOW_SHARE = 0.05  # of the usual rate
-CALLS_A_S = 4.4  # of a process in calm
-TIMES_CALM = 2.0  # the store's rate
+WARMUP_S = 6.0  # until all processes have connections and have read their keys
+SLOWDOWN_S = 3.0
+SLOWDOWN_SHARE = 0.05  # of the normal rate
+CALLS_PER_S = 4.4  # of one process without an overload
+CAPACITY_FACTOR = 2.0  # the store's rate over the processes' normal rate
 CONNECTION_COST = 2.0  # in calls
-BACK_S = 12.0
+RECOVERY_S = 12.0
 
 
 class Server:
     """The store: calls wait in one queue and are answered in order.
 
     Attributes:
-      share: A float, of its usual rate.
+      rate_share: A float, the current share of the normal rate.
     """
 
     def __init__(self, rate):
-        """Begin with a rate in calls a second."""
+        """Start with a rate in calls per second."""
         self._rate = rate
         self._credit = 0.0
         self._waiting = collections.deque()
-        self.share = 1.0
+        self.rate_share = 1.0
 
-    def take(self, cost, answer):
-        """Take a call; `answer` is called when its turn is over."""
+    def enqueue(self, cost, answer):
+        """Queue a call; `answer` is called once it is processed."""
         self._waiting.append((cost, answer))
 
     def pass_time(self, seconds):
-        """Answer what can be answered in a time."""
-        self._credit += seconds * self._rate * self.share
+        """Process the calls that fit into a time."""
+        self._credit += seconds * self._rate * self.rate_share
         while self._waiting and self._credit >= self._waiting[0][0]:
             cost, answer = self._waiting.popleft()
             self._credit -= cost
@@ -59,7 +59,7 @@
 
 
 class Client:
-    """A process's store client, with connections as those of `kernel.httpcalls`."""
+    """A process's store client, which reuses connections as `kernel.httpcalls` does."""
 
     def __init__(self, reactor, server):
         self._reactor = reactor
@@ -80,9 +80,9 @@
         def give_up():
             nonlocal late_until
             self._idle = 0
-            if self._late < MAX_LATE:
+            if self._late < MAX_LATE_CALLS:
                 self._late += 1
-                late_until = self._reactor.callLater(LATE_S, end_late)
+                late_until = self._reactor.callLater(LATE_TIMEOUT_S, end_late)
             answered.callback(result.Failure(port.Unavailable("no answer")))
 
         def end_late():
@@ -103,8 +103,8 @@
                 self._idle += 1
                 answered.callback(result.Success(value))
 
-        timer = self._reactor.callLater(CALL_S + wait_s, give_up)
-        self._server.take(cost, answer)
+        timer = self._reactor.callLater(CALL_TIMEOUT_S + wait_s, give_up)
+        self._server.enqueue(cost, answer)
         return await answered
 
     async def grant_lease(self, ttl_ms):
@@ -126,7 +126,7 @@
 
 
 class Overload(unittest.TestCase):
-    """Many processes at a store that is slow for a while."""
+    """Many processes that call a store which is slow for a while."""
 
     def setUp(self):
         self.reactor = task.Clock()
@@ -139,7 +139,7 @@
         random.seed(1)
 
     def start_process(self):
-        """Start a process at some time; its health.CheckedStore."""
+        """Start a process at a random time and return its health.CheckedStore."""
         client = Client(self.reactor, self.server)
         store = health.CheckedStore(client)
         client.on_late = store.note_late_answer
@@ -153,31 +153,31 @@
         return store
 
     def pass_time(self, seconds):
-        """Let time pass."""
+        """Advance the time in small steps."""
         for _ in range(int(seconds / STEP_S)):
             self.server.pass_time(STEP_S)
             self.reactor.advance(STEP_S)
 
-    def check_is_back(self, count):
-        """A store that was slow for a while is back at so many processes."""
-        self.server = Server(TIMES_CALM * CALLS_A_S * count)
+    def check_recovery(self, count):
+        """Check that a store that was slow answers all of a number of processes."""
+        self.server = Server(CAPACITY_FACTOR * CALLS_PER_S * count)
         stores = [self.start_process() for _ in range(count)]
-        self.pass_time(CALM_S)
+        self.pass_time(WARMUP_S)
         self.assertFalse(any(store.is_unavailable() for store in stores))
-        self.server.share = SLOW_SHARE
-        self.pass_time(SLOW_S)
+        self.server.rate_share = SLOWDOWN_SHARE
+        self.pass_time(SLOWDOWN_S)
         self.assertTrue(any(store.is_unavailable() for store in stores))
-        self.server.share = 1.0
-        self.pass_time(BACK_S)
-        away = sum(store.is_unavailable() for store in stores)
-        self.assertEqual(away, 0, f"{away} of {count}")
+        self.server.rate_share = 1.0
+        self.pass_time(RECOVERY_S)
+        unavailable = sum(store.is_unavailable() for store in stores)
+        self.assertEqual(unavailable, 0, f"{unavailable} of {count}")
 
-    # Retries and new connections kept it overloaded for ever.
-    def test_it_is_back_at_ten_processes(self):
-        self.check_is_back(10)
+    # Retries and new connections kept the store overloaded forever.
+    def test_ten_processes_recover(self):
+        self.check_recovery(10)
 
-    def test_it_is_back_at_sixty_processes(self):
-        self.check_is_back(60)
+    def test_sixty_processes_recover(self):
+        self.check_recovery(60)
 
 
 if __name__ == "__main__":
--- a/thornport/store/port.py
+++ b/thornport/store/port.py
@@ -1,8 +1,8 @@
-"""What thornport asks of the platform's key-value service.
+"""Types and errors of the platform's key-value service.
 
 A write has three outcomes: applied, refused because the value had changed,
-or unknown because the answer was lost. The port never folds the third into
-one of the others; `resolve_write` reads back to find out.
+or unknown because the answer was lost. The third is never reported as one of
+the others; `resolve_write` reads the key back to find out.
 """
 
 import msgspec
@@ -16,7 +16,7 @@
 
     Attributes:
       value: Bytes, empty when the key is absent.
-      index: An int that rises with each change; ABSENT_INDEX when absent.
+      index: An int that increases with each change; ABSENT_INDEX when absent.
     """
 
     value: bytes
@@ -24,34 +24,34 @@
 
 
 class StoreError(msgspec.Struct, frozen=True):
-    """Why a call to the service gave no answer to rely on."""
+    """Why a call to the service failed or has an unknown outcome."""
 
     reason: str
 
 
 class Unavailable(StoreError, frozen=True):
-    """The service was not reached, or refused; nothing was changed."""
+    """The service was unreachable or refused the call; nothing was changed."""
 
 
 class Ambiguous(StoreError, frozen=True):
-    """A write was sent and its answer lost; it may have been applied."""
+    """A write was sent but not answered; it may have been applied."""
 
 
 class Conflict(StoreError, frozen=True):
-    """The value had changed since it was read; nothing was changed."""
+    """The value had changed since it was read; nothing was written."""
 
 
 async def resolve_write(store, key, value, index):
-    """Write by compare-and-swap and read back if the answer is lost.
+    """Write by compare-and-swap, and read the key back if the answer is lost.
 
     Args:
       store: An object with the methods of client.StoreClient.
       key: A str.
-      value: Bytes, which must differ from the value of any other writer.
-      index: An int, the index that the key was read at.
+      value: Bytes, which must differ from those of any other writer.
+      index: An int, the index at which the key was read.
     Returns:
-      A Result of the Item now in the service, or a StoreError. Ambiguous
-      remains only when reading back fails too.
+      A Result of the Item now in the service, or a StoreError: Ambiguous if reading
+      back fails too, or if the write may still be applied.
     """
     written = await store.compare_and_swap(key, value, index)
     if not is_failure(written, Ambiguous):
@@ -63,13 +63,13 @@
     if item.value == value:
         return result.Success(item)
     if item.index == index:
-        # The write may still be on its way, so it is not known to be lost.
+        # The write may still be in flight, so it is not known to be lost.
         return written
     return result.Failure(Conflict("another writer's value is there"))
 
 
 def is_failure(outcome, error_type):
-    """Tell whether an outcome failed in one way.
+    """Return whether an outcome is a failure of one type.
 
     Args:
       outcome: A Result.
--- a/thornport/store/probing.py
+++ b/thornport/store/probing.py
@@ -1,8 +1,8 @@
-"""Asking the store now and then whether it answers this process.
+"""Probes periodically whether the store answers this process.
 
-A process that keeps no job for a while would learn that the store is away only by
-the next one, of which it then can't tell whether it is kept. The call is the
-renewal of a lease that holds no keys: it costs a tenth of another call.
+Without probes, a process that persists no job for a while would detect an outage only
+by the next job, and could not know whether that job is durable. A probe renews a lease
+that holds no keys, which costs a tenth of another call.
 """
 
 from returns import result
@@ -10,20 +10,20 @@
 from thornport.kernel import tasks
 from thornport.store import port, transactions
 
-# Often enough to tell of the store's return while callers still try.
+# Short enough to detect recovery while callers are still retrying.
 PROBE_PERIOD_S = 0.3
-LEASE_TTL_MS = 60_000  # any that the store grants: it is renewed far more often
+LEASE_TTL_MS = 60_000  # any TTL that the store grants; renewals are far more frequent
 
 
 class Prober:
-    """Makes the calls, each whether or not the ones before were answered."""
+    """Sends probes at a fixed period, whether or not earlier ones were answered."""
 
     def __init__(self, reactor, store):
-        """Take the store.
+        """Prepare to probe a store.
 
         Args:
           reactor: Twisted's reactor.
-          store: A health.CheckedStore, which notes what comes of each call.
+          store: A health.CheckedStore, which tracks the outcome of each call.
         """
         self._reactor = reactor
         self._store = store
@@ -31,15 +31,17 @@
         self._is_granting = False
 
     def start(self):
-        """Begin."""
-        tasks.call_periodically(self._reactor, PROBE_PERIOD_S, self._begin, "probe")
+        """Start periodic probes."""
+        tasks.call_periodically(
+            self._reactor, PROBE_PERIOD_S, self._start_probe, "probe"
+        )
 
-    def _begin(self):
-        # A call that is not answered must not hold up the next one.
+    def _start_probe(self):
+        # An unanswered probe must not delay the next one.
         tasks.spawn(self.probe(), "probe the store")
 
     async def probe(self):
-        """Make one call."""
+        """Renew the lease, or request one if there is none."""
         if self._lease_id is None:
             await self._grant()
             return
--- a/thornport/store/probing_test.py
+++ b/thornport/store/probing_test.py
@@ -1,4 +1,4 @@
-"""Probes tell of a store that is silent, and that it is back."""
+"""Probes detect that the store falls silent and that it recovers."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 class FakeStore:
-    """A store that answers, or is silent until its calls time out."""
+    """A store that answers, or leaves its calls to time out."""
 
     def __init__(self, reactor):
         self._reactor = reactor
@@ -40,7 +40,7 @@
         return await self._answer(result.Success(1000))
 
 
-class Probes(unittest.TestCase):
+class Probing(unittest.TestCase):
     """A prober in simulated time."""
 
     def setUp(self):
@@ -54,24 +54,24 @@
         self.pass_time(2.0)
 
     def pass_time(self, seconds):
-        """Let time pass in small steps."""
+        """Advance the time in small steps."""
         for _ in range(int(seconds / 0.05)):
             self.reactor.advance(0.05)
 
-    def test_silence_is_known_without_any_other_call(self):
+    def test_silence_is_detected_without_any_other_call(self):
         self.assertFalse(self.checked.is_unavailable())
         self.store.is_silent = True
-        self.pass_time(probing.PROBE_PERIOD_S + health.SILENT_S + 0.1)
+        self.pass_time(probing.PROBE_PERIOD_S + health.MAX_SILENCE_S + 0.1)
         self.assertTrue(self.checked.is_unavailable())
 
-    def test_return_is_known_while_earlier_calls_are_open(self):
+    def test_recovery_is_detected_while_earlier_calls_are_open(self):
         self.store.is_silent = True
         self.pass_time(3.0)
         self.store.is_silent = False
         self.pass_time(probing.PROBE_PERIOD_S + 0.05)
         self.assertFalse(self.checked.is_unavailable())
 
-    def test_lease_that_is_gone_is_granted_anew(self):
+    def test_lost_lease_is_replaced(self):
         self.store.leases.clear()
         renewals = self.store.renewals
         self.pass_time(1.5)
--- a/thornport/store/transactions.py
+++ b/thornport/store/transactions.py
@@ -1,8 +1,8 @@
-"""What thornport asks of a store with transactions, leases and watches.
+"""Types of the store with transactions, leases and watches.
 
-The keys of jobs, of their progress and of ownership live there. A write has
-three outcomes here as in `port`: applied, refused by its conditions, or
-unknown (`port.Ambiguous`); `port.Unavailable` says that nothing was done.
+It holds the keys of jobs, of their progress and of ownership. A write has three
+outcomes, as in `port`: applied, refused by its conditions, or unknown
+(`port.Ambiguous`). `port.Unavailable` means that nothing was changed.
 """
 
 import msgspec
@@ -13,7 +13,7 @@
 
 
 class Item(msgspec.Struct, frozen=True):
-    """A key as it is in the store.
+    """A key's value and revision in the store.
 
     Attributes:
       key: A str.
@@ -27,7 +27,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """An event of a watch; `value` is None when the key was removed."""
+    """A change that a watch returned; `value` is None when the key was removed."""
 
     key: str
     value: bytes | None
@@ -39,8 +39,8 @@
 
     Attributes:
       items: A list of Item.
-      more: A bool, whether another page begins after the last key.
-      at: An int, the store's revision when it was read.
+      more: A bool, whether another page follows after the last key.
+      at: An int, the store's revision when the page was read.
     """
 
     items: list[Item]
@@ -49,21 +49,21 @@
 
 
 class Changes(msgspec.Struct, frozen=True):
-    """What a watch saw, and the revision that the next one goes on from."""
+    """The changes of a watch, and the revision that the next watch starts from."""
 
     changes: list[Change]
     at: int
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """A key must have this revision for a transaction to be applied."""
+    """The revision that a key must have for a transaction to be applied."""
 
     key: str
     revision: int
 
 
 class Put(msgspec.Struct, frozen=True):
-    """A key to write; with a lease, it goes when the lease does."""
+    """A key to write; with a lease, the key is removed when the lease ends."""
 
     key: str
     value: bytes
@@ -71,12 +71,12 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Changes that are applied all together or not at all.
+    """Changes that are applied atomically.
 
     Attributes:
       conditions: A list of Condition.
       puts: A list of Put.
-      removes: A list of str, keys.
+      removes: A list of str, the keys to remove.
     """
 
     conditions: list[Condition] = []
@@ -85,7 +85,7 @@
 
 
 class Lease(msgspec.Struct, frozen=True):
-    """A lease that was granted."""
+    """A lease that the store granted."""
 
     lease_id: int
     ttl_ms: int
@@ -95,15 +95,16 @@
     """A condition failed; nothing was changed.
 
     Attributes:
-      by_key: The Items of the conditions as they are; absent keys are not in.
+      by_key: A dict from each key of the conditions to its current Item; absent keys
+        are left out.
     """
 
     by_key: dict[str, Item]
 
 
 class HistoryGone(port.StoreError, frozen=True):
-    """A watch asked for changes that the store has forgotten."""
+    """A watch asked for changes that the store no longer has."""
 
 
 class LeaseGone(port.StoreError, frozen=True):
-    """The lease is over."""
+    """The lease has expired or was ended."""
