--- a/thornport/entry/front.py
+++ b/thornport/entry/front.py
@@ -141,9 +141,9 @@
         """Run a request whose key was never run, and keep its end."""
         declared = self._config.services_by_name[request.service]
         verdict = await self._keys.claim(request, declared.key_life_ms)
-        if verdict.ruling is not claims.Ruling.FRESH:
+        if verdict.decision is not claims.Decision.FRESH:
             self._keys.release(verdict)
-            return verdict.answer or keys.GIVEN_UP_BY_RULING[verdict.ruling]
+            return verdict.answer or keys.GIVEN_UP_BY_RULING[verdict.decision]
         done = await self._run(request)
         if isinstance(done, outcome.Answer):
             fits = len(done.body) <= declared.max_answer_bytes
--- a/thornport/entry/keys.py
+++ b/thornport/entry/keys.py
@@ -12,22 +12,22 @@
 RETRY_CLAIM_S = 0.2
 
 GIVEN_UP_BY_RULING = {
-    claims.Ruling.BUSY: outcome.may_have_run(
+    claims.Decision.BUSY: outcome.may_have_run(
         outcome.Reason.KEY_BUSY, "a request with this key is running", 1
     ),
-    claims.Ruling.DONE: outcome.may_have_run(
+    claims.Decision.DONE: outcome.may_have_run(
         outcome.Reason.KEY_BUSY, "the answer to this key was not kept"
     ),
-    claims.Ruling.REUSED: outcome.not_run(
+    claims.Decision.REUSED: outcome.not_run(
         outcome.Reason.KEY_REUSED, "this key stands for another request"
     ),
-    claims.Ruling.UNPROVABLE: outcome.may_have_run(
+    claims.Decision.UNPROVABLE: outcome.may_have_run(
         outcome.Reason.KEY_UNPROVABLE, "the record of this key may be lost"
     ),
-    claims.Ruling.FULL: outcome.not_run(
+    claims.Decision.FULL: outcome.not_run(
         outcome.Reason.KEY_MEMORY_FULL, "too many keys are remembered", 5
     ),
-    claims.Ruling.NO_QUORUM: outcome.not_run(
+    claims.Decision.NO_QUORUM: outcome.not_run(
         outcome.Reason.KEY_NO_QUORUM, "too few entries can vouch for the key", 1
     ),
 }
@@ -76,12 +76,12 @@
           request: A requests.Request with a key.
           key_life_ms: An int.
         Returns:
-          A claims.Verdict. Whatever it rules, it is to be ended by `finish`
+          A claims.ClaimResult. Whatever it rules, it is to be ended by `finish`
           or `release`.
         """
         for _ in range(NO_QUORUM_TRIES):
             verdict = await self._claim_once(request, key_life_ms)
-            if verdict.ruling is not claims.Ruling.NO_QUORUM:
+            if verdict.decision is not claims.Decision.NO_QUORUM:
                 return verdict
             if clock.read_monotonic() + RETRY_CLAIM_S >= request.deadline:
                 return verdict
@@ -110,7 +110,7 @@
         """End a claim whose request has run, or may have.
 
         Args:
-          verdict: A claims.Verdict, FRESH.
+          verdict: A claims.ClaimResult, FRESH.
           answer: An outcome.Answer to keep, or None.
         """
         self._say(self._claims.finish(verdict.claim_id, answer))
@@ -119,7 +119,7 @@
         """End a claim whose request was not run.
 
         Args:
-          verdict: A claims.Verdict.
+          verdict: A claims.ClaimResult.
         """
         self._say(self._claims.release(verdict.claim_id))
 
--- a/thornport/once/claims.py
+++ b/thornport/once/claims.py
@@ -12,10 +12,10 @@
 from thornport.once import messages
 from thornport.routing import outcome
 
-PATIENCE_S = 1.0
+VOTE_TIMEOUT_S = 1.0
 
 
-class Ruling(enum.Enum):
+class Decision(enum.Enum):
     """What the holders' votes come to.
 
     FRESH: the request may run, and nobody else's may. All others: it may not.
@@ -30,14 +30,14 @@
     NO_QUORUM = "no-quorum"
 
 
-RULING_BY_VOTE = {
-    messages.Vote.HELD: Ruling.BUSY,
-    messages.Vote.DOUBT: Ruling.UNPROVABLE,
-    messages.Vote.FULL: Ruling.FULL,
+DECISION_BY_VOTE = {
+    messages.Vote.HELD: Decision.BUSY,
+    messages.Vote.DOUBT: Decision.UNPROVABLE,
+    messages.Vote.FULL: Decision.FULL,
 }
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class ClaimResult(msgspec.Struct, frozen=True):
     """The end of a claim.
 
     Attributes:
@@ -45,7 +45,7 @@
     """
 
     claim_id: str
-    ruling: Ruling
+    decision: Decision
     answer: outcome.Answer | None = None
 
 
@@ -84,7 +84,7 @@
         self._next += 1
         claim_id = f"{self._incarnation}-{self._next}"
         holders = record.pick_holders(ring.members, key, messages.HOLDERS)
-        self._pending_by_id[claim_id] = Pending(key, holders, now + PATIENCE_S)
+        self._pending_by_id[claim_id] = Pending(key, holders, now + VOTE_TIMEOUT_S)
         claim = messages.Claim(ring.epoch, key, claim_id, digest, life_ms)
         return claim_id, [(member, claim) for member in holders]
 
@@ -95,28 +95,28 @@
           sender_id: A str.
           voted: A messages.Voted.
         Returns:
-          A Verdict if the claim has come to its end, else None.
+          A ClaimResult if the claim has come to its end, else None.
         """
         pending = self._pending_by_id.get(voted.claim_id)
         if pending is None:
             return None
         pending.vote_by_id[sender_id] = voted.vote
         if voted.vote is messages.Vote.DONE:
-            return self._end(voted.claim_id, Ruling.DONE, voted.answer)
+            return self._end(voted.claim_id, Decision.DONE, voted.answer)
         if voted.vote is messages.Vote.REUSED:
-            return self._end(voted.claim_id, Ruling.REUSED)
+            return self._end(voted.claim_id, Decision.REUSED)
         votes = list(pending.vote_by_id.values())
         quorum = messages.QUORUM_BY_HOLDERS[len(pending.holders)]
         if votes.count(messages.Vote.GRANTED) >= quorum:
-            return self._end(voted.claim_id, Ruling.FRESH)
+            return self._end(voted.claim_id, Decision.FRESH)
         if len(votes) == len(pending.holders):
-            return self._end(voted.claim_id, rule_without_quorum(votes))
+            return self._end(voted.claim_id, decide_without_quorum(votes))
         return None
 
-    def _end(self, claim_id, ruling, answer=None):
+    def _end(self, claim_id, decision, answer=None):
         pending = self._pending_by_id.pop(claim_id)
         self._ended_by_id[claim_id] = pending
-        return Verdict(claim_id, ruling, answer)
+        return ClaimResult(claim_id, decision, answer)
 
     def expire(self, now):
         """End the claims whose holders stay silent.
@@ -124,14 +124,14 @@
         Args:
           now: A float.
         Returns:
-          A list of Verdict.
+          A list of ClaimResult.
         """
         late = [c for c, p in self._pending_by_id.items() if now >= p.give_up_at]
-        verdicts = []
+        results = []
         for claim_id in late:
             votes = list(self._pending_by_id[claim_id].vote_by_id.values())
-            verdicts.append(self._end(claim_id, rule_without_quorum(votes)))
-        return verdicts
+            results.append(self._end(claim_id, decide_without_quorum(votes)))
+        return results
 
     def finish(self, claim_id, answer):
         """Tell the holders that the request has ended, or may have run.
@@ -159,15 +159,15 @@
         return [(member, release) for member in pending.holders]
 
 
-def rule_without_quorum(votes):
+def decide_without_quorum(votes):
     """Rule on a claim that too few holders have granted.
 
     Args:
       votes: A list of messages.Vote.
     Returns:
-      A Ruling other than FRESH.
+      A Decision other than FRESH.
     """
-    for vote, ruling in RULING_BY_VOTE.items():
+    for vote, decision in DECISION_BY_VOTE.items():
         if vote in votes:
-            return ruling
-    return Ruling.NO_QUORUM
+            return decision
+    return Decision.NO_QUORUM
--- a/thornport/once/once_test.py
+++ b/thornport/once/once_test.py
@@ -84,9 +84,9 @@
             vote = member.holder.take_claim(message, member.acts, self.now)
             self.send(me, sender, vote)
         elif isinstance(message, messages.Voted):
-            verdict = member.claims.take_vote(sender, message)
-            if verdict:
-                self.rule(member, verdict)
+            result = member.claims.take_vote(sender, message)
+            if result:
+                self.rule(member, result)
         elif isinstance(message, messages.AskRecords):
             for part in member.holder.answer_ask(sender, message, self.now):
                 self.send(me, sender, part)
@@ -97,16 +97,16 @@
         else:
             member.holder.take_release(message)
 
-    def rule(self, member, verdict):
-        key = member.key_by_claim.pop(verdict.claim_id)
+    def rule(self, member, result):
+        key = member.key_by_claim.pop(result.claim_id)
         gives_up = self.choices.random() < 0.2
-        if verdict.ruling is not claims.Ruling.FRESH or gives_up:
-            said = member.claims.release(verdict.claim_id)
+        if result.decision is not claims.Decision.FRESH or gives_up:
+            said = member.claims.release(result.claim_id)
         else:
             self.fresh += 1
             self.runs_by_key[key] += 1
             assert self.runs_by_key[key] <= 1, key
-            said = member.claims.finish(verdict.claim_id, None)
+            said = member.claims.finish(result.claim_id, None)
             if self.choices.random() < 0.3:
                 said = []
         for target, message in said:
@@ -118,8 +118,8 @@
             member.holder.take_ring(self.ring, self.now)
         for asked in member.holder.list_to_ask(self.now):
             self.send(me, asked, messages.AskRecords(member.holder.ring.epoch))
-        for verdict in member.claims.expire(self.now):
-            self.rule(member, verdict)
+        for result in member.claims.expire(self.now):
+            self.rule(member, result)
         if self.choices.random() < 0.1:
             key = self.choices.choice(KEYS)
             claim_id, said = member.claims.start(
