--- a/thornport/cell/dispatch/dispatching.py
+++ b/thornport/cell/dispatch/dispatching.py
@@ -89,7 +89,7 @@
         self._reactor = reactor
         self._bus = bus
         self._workers = workers
-        self._numbers = ids.count_anew()
+        self._numbers = ids.count_from_random()
         self._assigner = assignment.Assigner()
         self._assignment = assignment.NOBODY
         self._assigned_inputs = None
--- a/thornport/cell/owner/following_test.py
+++ b/thornport/cell/owner/following_test.py
@@ -37,7 +37,7 @@
         self._reactor = reactor
         self.silent = silent
 
-    def call(self, address, method, path, body, patience, on_bytes=None, on_late=None):
+    def call(self, address, method, path, body, timeouts, on_bytes=None, on_late=None):
         """Lose the answer, or return the events of a watch."""
         if not self.silent:
             events = store.WireEvents([CANCEL], CANCEL.rev)
@@ -46,7 +46,7 @@
         self.silent -= 1
         lost = defer.Deferred()
         failure = result.Failure(httpcalls.NoAnswer("silent"))
-        self._reactor.callLater(patience.begin_s, lost.callback, failure)
+        self._reactor.callLater(timeouts.begin_s, lost.callback, failure)
         return lost
 
 
--- a/thornport/cell/peers/questions.py
+++ b/thornport/cell/peers/questions.py
@@ -22,7 +22,7 @@
         self._reactor = reactor
         self._bus = bus
         self._timeout_s = timeout_s
-        self._ids = ids.count_anew()
+        self._ids = ids.count_from_random()
         self._open_by_id = {}
 
     async def ask(self, address, make_question, timeout_s=0.0):
--- a/thornport/kernel/httpcalls.py
+++ b/thornport/kernel/httpcalls.py
@@ -28,7 +28,7 @@
 MAX_LATE_BYTES = 64 * 1024
 
 
-class Patience(msgspec.Struct, frozen=True):
+class CallTimeouts(msgspec.Struct, frozen=True):
     """How long a call waits.
 
     Attributes:
@@ -48,7 +48,7 @@
     late_s: float = 0.0
 
 
-USUAL_PATIENCE = Patience(1.0)
+DEFAULT_TIMEOUTS = CallTimeouts(1.0)
 
 
 class Answer(msgspec.Struct, frozen=True):
@@ -287,7 +287,7 @@
         method,
         path,
         body=b"",
-        patience=None,
+        timeouts=None,
         headers=(),
         on_bytes=None,
         on_late=None,
@@ -302,7 +302,7 @@
           address: A str, `IP:PORT`.
           method, path: A str each; the path with its query.
           body: Bytes, JSON; empty for none.
-          patience: A Patience; None for the usual.
+          patience: A CallTimeouts; None for DEFAULT_TIMEOUTS.
           headers: An iterable of pairs of str.
           on_bytes: A callable, called whenever bytes of the answer come; None for
             none.
@@ -311,34 +311,34 @@
         Returns:
           A Result of Answer, NotSent or NoAnswer.
         """
-        patience = patience or USUAL_PATIENCE
+        timeouts = timeouts or DEFAULT_TIMEOUTS
         pool = self._pool_by_address.setdefault(address, Pool(self._reactor))
         connection = pool.take()
         if connection is None:
-            connect_s = min(patience.begin_s, CONNECT_TIMEOUT_S)
+            connect_s = min(timeouts.begin_s, CONNECT_TIMEOUT_S)
             opened = await self._open(address, pool, connect_s)
             if isinstance(opened, result.Failure):
                 return opened
             connection = opened.unwrap()
         data = format_request(address, method, path, body, headers)
-        return await self._exchange(connection, pool, data, patience, on_bytes, on_late)
+        return await self._exchange(connection, pool, data, timeouts, on_bytes, on_late)
 
-    async def _exchange(self, connection, pool, data, patience, on_bytes, on_late):
+    async def _exchange(self, connection, pool, data, timeouts, on_bytes, on_late):
         """Send a request and wait for its answer."""
         sent_at = self._reactor.seconds()
         waiting = connection.send(data)
 
         def give_up():
             pool.drop_unheard(sent_at)
-            if patience.late_s and pool.may_leave_open(connection):
-                connection.leave_open(self._reactor, patience.late_s, on_late)
+            if timeouts.late_s and pool.may_leave_open(connection):
+                connection.leave_open(self._reactor, timeouts.late_s, on_late)
             waiting.cancel()
 
         sending_s = len(data) / SLOWEST_BYTES_PER_S
-        silence = self._reactor.callLater(patience.begin_s + sending_s, give_up)
-        whole_s = max(patience.begin_s, patience.whole_s)
+        silence = self._reactor.callLater(timeouts.begin_s + sending_s, give_up)
+        whole_s = max(timeouts.begin_s, timeouts.whole_s)
         whole = self._reactor.callLater(whole_s + sending_s, waiting.cancel)
-        pause_s = patience.pause_s or patience.begin_s
+        pause_s = timeouts.pause_s or timeouts.begin_s
 
         def note_progress():
             silence.reset(pause_s)
--- a/thornport/kernel/httpcalls_test.py
+++ b/thornport/kernel/httpcalls_test.py
@@ -50,10 +50,10 @@
         self.calls = httpcalls.HttpCalls(self.reactor)
         self.given = []
 
-    def begin(self, body=b"", **patience):
+    def begin(self, body=b"", **timeouts):
         """Begin a call; returns the client's protocol."""
-        patience = httpcalls.Patience(TIMEOUT_S, **patience)
-        call = self.calls.call("10.0.0.1:80", "GET", "/", body, patience)
+        timeouts = httpcalls.CallTimeouts(TIMEOUT_S, **timeouts)
+        call = self.calls.call("10.0.0.1:80", "GET", "/", body, timeouts)
         tasks.spawn(call, "call").addCallback(self.given.append)
         connection = self.reactor.factory.buildProtocol(None)
         connection.makeConnection(FakeTransport(connection, self.reactor))
@@ -185,7 +185,7 @@
     def call_kept(self):
         """Begin a call that finds a kept connection."""
         call = self.calls.call(
-            "10.0.0.1:80", "GET", "/", patience=httpcalls.Patience(TIMEOUT_S)
+            "10.0.0.1:80", "GET", "/", timeouts=httpcalls.CallTimeouts(TIMEOUT_S)
         )
         tasks.spawn(call, "call").addCallback(self.given.append)
 
--- a/thornport/kernel/ids.py
+++ b/thornport/kernel/ids.py
@@ -20,7 +20,7 @@
     return secrets.token_hex(INCARNATION_BYTES)
 
 
-def count_anew():
+def count_from_random():
     """Count from a number that no other life of a process begins near.
 
     Questions carry such numbers, and their answers may come when the process that asked
--- a/thornport/kernel/logs.py
+++ b/thornport/kernel/logs.py
@@ -14,7 +14,7 @@
 LEFT_OUT_KEYS = frozenset({"task_uuid", "task_level", "timestamp", "message_type"})
 # Of one event; the users' two-year size has 45 task starts a second at its peak
 # over several owners, a burst some times as many.
-LINES_A_SECOND = 400
+MAX_LINES_PER_S = 400
 MAX_PENDING_BYTES = 262_144  # a second or two of lines under load
 CHARS_TO_QUOTE = frozenset(' "=')
 
@@ -22,7 +22,7 @@
 class LineDestination:
     """Writes eliot's events as lines of key=value pairs, within a bound.
 
-    In any second an event may have LINES_A_SECOND lines; the others are
+    In any second an event may have MAX_LINES_PER_S lines; the others are
     counted, and told of in one line when the second is over.
     """
 
@@ -50,14 +50,14 @@
             self._second = second
         name = read_name(event)
         self._count_by_name[name] += 1
-        if self._count_by_name[name] <= LINES_A_SECOND:
+        if self._count_by_name[name] <= MAX_LINES_PER_S:
             self._write(format_event(event))
 
     def _tell_left_out(self, event):
         for name, count in self._count_by_name.items():
-            if count > LINES_A_SECOND:
+            if count > MAX_LINES_PER_S:
                 told = {"message_type": "lines-left-out", "of": name}
-                told |= {"count": count - LINES_A_SECOND}
+                told |= {"count": count - MAX_LINES_PER_S}
                 told |= {"timestamp": event.get("timestamp", 0)}
                 self._write(format_event(told))
         self._count_by_name.clear()
@@ -67,7 +67,7 @@
         self._stream.flush()
 
 
-class PatientStream:
+class NonBlockingStream:
     """Writes to a descriptor without ever waiting for its reader.
 
     What the reader has not taken is kept up to a bound; lines beyond that are
--- a/thornport/kernel/logs_test.py
+++ b/thornport/kernel/logs_test.py
@@ -22,11 +22,11 @@
         self.destination = logs.LineDestination(self.stream)
 
     def test_lines_beyond_the_bound_are_counted_and_told(self):
-        self.write(logs.LINES_A_SECOND + 7)
+        self.write(logs.MAX_LINES_PER_S + 7)
         self.write(1, name="config-in-force")
         self.write(1, timestamp=6.0)
         lines = self.stream.getvalue().splitlines()
-        self.assertEqual(len(lines), logs.LINES_A_SECOND + 3)
+        self.assertEqual(len(lines), logs.MAX_LINES_PER_S + 3)
         self.assertIn("event=lines-left-out of=run-start count=7", lines[-2])
 
     def test_values_that_would_break_a_line_are_quoted(self):
@@ -41,7 +41,7 @@
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
-        stream = logs.PatientStream(writer)
+        stream = logs.NonBlockingStream(writer)
         for _ in range(20_000):
             stream.write("x" * 99 + "\n")
             stream.flush()
--- a/thornport/platform/__main__.py
+++ b/thornport/platform/__main__.py
@@ -93,7 +93,8 @@
     path = os.environ.get(SETTINGS_VARIABLE) or sys.argv[1]
     process_settings = daemons.load_or_exit(path, settings.parse_settings)
     logs.start_logging(
-        logs.PatientStream(sys.stdout.fileno()), process=process_settings.process.name
+        logs.NonBlockingStream(sys.stdout.fileno()),
+        process=process_settings.process.name,
     )
     counters = metrics.Metrics()
     calls = httpcalls.HttpCalls(reactor)
--- a/thornport/platform/advice.py
+++ b/thornport/platform/advice.py
@@ -50,7 +50,7 @@
             "POST",
             "/-/advise",
             msgspec.json.encode(wire),
-            httpcalls.Patience(timeout_s, whole_s=timeout_s),
+            httpcalls.CallTimeouts(timeout_s, whole_s=timeout_s),
         )
         if isinstance(called, result.Failure):
             return result.Failure(called.failure().reason)
--- a/thornport/platform/platform_test.py
+++ b/thornport/platform/platform_test.py
@@ -37,13 +37,13 @@
         method,
         path,
         body=b"",
-        patience=None,
+        timeouts=None,
         headers=(),
         on_bytes=None,
         on_late=None,
     ):
         """Note the call and answer."""
-        self.patience = patience
+        self.timeouts = timeouts
         self.asked.append((method, path, body, dict(headers)))
         return self.outcome
 
@@ -203,15 +203,15 @@
         calls = FakeCalls(result.Failure(httpcalls.NoAnswer("cut")))
         client = workers.WorkerClient(calls, 0.2)
         run(client.hold(messages.HoldRequest("i-1", "10.0.0.9:80", 7, 0, 0, 700)))
-        self.assertLess(calls.patience.whole_s, leases.MAX_LEASE_MS / 2 / 1000)
+        self.assertLess(calls.timeouts.whole_s, leases.MAX_LEASE_MS / 2 / 1000)
         run(client.stop(messages.StopOrder("i-1", "10.0.0.9:80", TASK, 2, 7)))
-        self.assertEqual(calls.patience.whole_s, 0.2)
+        self.assertEqual(calls.timeouts.whole_s, 0.2)
         client = store.StoreClient(calls, "10.0.0.7:80", 0.5, FakeMetrics())
         run(client.renew_lease(77))
-        self.assertLess(calls.patience.whole_s, ownership.LEASE_TTL_MS / 1000)
+        self.assertLess(calls.timeouts.whole_s, ownership.LEASE_TTL_MS / 1000)
         client = advice.AdviceClient(calls, "10.0.0.1:9")
         run(client.advise(messages.AdviceRequest(STEP, ("i-1",)), 1.0))
-        self.assertEqual(calls.patience.whole_s, 1.0)
+        self.assertEqual(calls.timeouts.whole_s, 1.0)
 
 
 class Store(unittest.TestCase):
@@ -287,8 +287,8 @@
         calls = FakeCalls(result.Failure(httpcalls.NoAnswer("cut")))
         client = store.StoreClient(calls, "10.0.0.7:80", 0.5, FakeMetrics())
         run(client.watch("p/", 411, 2000))
-        self.assertEqual(calls.patience.begin_s, 2.0 + store.WATCH_SLACK_S)
-        self.assertEqual((calls.patience.pause_s, calls.patience.whole_s), (0.5, 30.0))
+        self.assertEqual(calls.timeouts.begin_s, 2.0 + store.WATCH_SLACK_S)
+        self.assertEqual((calls.timeouts.pause_s, calls.timeouts.whole_s), (0.5, 30.0))
         self.assertLess(store.WATCH_SLACK_S, 1.0)  # a silent store is noticed
 
     def test_lease_that_is_over(self):
--- a/thornport/platform/store.py
+++ b/thornport/platform/store.py
@@ -10,7 +10,7 @@
 from thornport.store import port, transactions
 
 WATCH_SLACK_S = 0.6  # beyond the wait, for the way there and back
-LATE_S = 4.0  # for the answer to a call that was given up; see httpcalls.Patience
+LATE_S = 4.0  # for the answer to a call that was given up; see httpcalls.CallTimeouts
 MAX_WATCH_MS = 30_000  # the platform's limit on a waiting watch
 
 
@@ -94,7 +94,7 @@
         """
         self._calls = calls
         self._address = address
-        self._patience = httpcalls.Patience(timeout_s, timeout_s, late_s=LATE_S)
+        self._timeouts = httpcalls.CallTimeouts(timeout_s, timeout_s, late_s=LATE_S)
         self._metrics = metrics
         self.on_late = None
 
@@ -131,8 +131,10 @@
         path = "/-/kv-watch?" + urllib.parse.urlencode(query)
         # The wait is over when the answer begins, which may have 1 MB.
         begin_s = wait_ms / 1000 + WATCH_SLACK_S
-        patience = httpcalls.Patience(begin_s, self._patience.pause_s, late_s=LATE_S)
-        answer = await self._call("GET", path, patience=patience, on_bytes=on_bytes)
+        timeouts = httpcalls.CallTimeouts(
+            begin_s, self._timeouts.pause_s, late_s=LATE_S
+        )
+        answer = await self._call("GET", path, timeouts=timeouts, on_bytes=on_bytes)
         if is_status(answer, 410):
             return result.Failure(transactions.HistoryGone("history is gone"))
         return decode_body(answer, WireEvents).map(decode_events)
@@ -158,9 +160,9 @@
     async def renew_lease(self, lease_id):
         """Renew a lease; a Result of its time in milliseconds."""
         # A lease has time for three tries; the answer is small.
-        begin_s = self._patience.begin_s
-        patience = httpcalls.Patience(begin_s, whole_s=begin_s, late_s=LATE_S)
-        answer = await self._call("POST", f"/-/kv-keep/{lease_id}", patience=patience)
+        begin_s = self._timeouts.begin_s
+        timeouts = httpcalls.CallTimeouts(begin_s, whole_s=begin_s, late_s=LATE_S)
+        answer = await self._call("POST", f"/-/kv-keep/{lease_id}", timeouts=timeouts)
         if is_status(answer, 404):
             return result.Failure(transactions.LeaseGone("no such lease"))
         return decode_body(answer, WireLease).map(lambda wire: wire.ttl_ms)
@@ -173,7 +175,7 @@
         return answer.map(lambda _: None)
 
     async def _call(
-        self, method, path, body=b"", is_write=False, patience=None, on_bytes=None
+        self, method, path, body=b"", is_write=False, timeouts=None, on_bytes=None
     ):
         self._metrics.count("store.writes" if is_write else "store.reads")
         answer = await self._calls.call(
@@ -181,7 +183,7 @@
             method,
             path,
             body,
-            patience or self._patience,
+            timeouts or self._timeouts,
             on_bytes=on_bytes,
             on_late=self.on_late,
         )
--- a/thornport/platform/workers.py
+++ b/thornport/platform/workers.py
@@ -25,7 +25,7 @@
           order_timeout_s: A float, seconds to wait for a start or a stop.
         """
         self._calls = calls
-        self._order_patience = httpcalls.Patience(
+        self._command_timeouts = httpcalls.CallTimeouts(
             order_timeout_s, whole_s=order_timeout_s
         )
 
@@ -45,7 +45,9 @@
             request,
             "/-/hold",
             body,
-            httpcalls.Patience(wait_s + HOLD_SLACK_S, whole_s=wait_s + HOLD_ANSWER_S),
+            httpcalls.CallTimeouts(
+                wait_s + HOLD_SLACK_S, whole_s=wait_s + HOLD_ANSWER_S
+            ),
             workermessages.decode_hold,
         )
         if isinstance(answer, messages.HoldAnswer):
@@ -70,9 +72,9 @@
             order.checkpoint,
             order.ticket,
         )
-        patience = self._order_patience
+        timeouts = self._command_timeouts
         return await self._ask(
-            order, "/-/run-start", body, patience, workermessages.decode_done
+            order, "/-/run-start", body, timeouts, workermessages.decode_done
         )
 
     async def stop(self, order):
@@ -86,9 +88,9 @@
         body = workermessages.WireStop(
             names.format_task(order.key), order.run, order.token
         )
-        patience = self._order_patience
+        timeouts = self._command_timeouts
         return await self._ask(
-            order, "/-/run-stop", body, patience, workermessages.decode_done
+            order, "/-/run-stop", body, timeouts, workermessages.decode_done
         )
 
     def has_looked(self, address):
@@ -103,8 +105,8 @@
         """Close the idle connections to a worker that is gone."""
         self._calls.forget(address)
 
-    async def _ask(self, request, path, body, patience, decode):
-        answer = await self._call(request, path, body, patience)
+    async def _ask(self, request, path, body, timeouts, decode):
+        answer = await self._call(request, path, body, timeouts)
         if not isinstance(answer, httpcalls.Answer):
             return answer
         if answer.status != 200:
@@ -114,11 +116,11 @@
         except (msgspec.MsgspecError, ValueError, IndexError) as error:
             return messages.Unanswered(f"bad answer: {error}")
 
-    async def _call(self, request, path, body, patience):
+    async def _call(self, request, path, body, timeouts):
         data = msgspec.json.encode(body)
         headers = ((EXPECT_HEADER, request.worker_id),)
         called = await self._calls.call(
-            request.address, "POST", path, data, patience, headers
+            request.address, "POST", path, data, timeouts, headers
         )
         if isinstance(called, result.Success):
             return called.unwrap()
