--- a/thornport/cell/decisions/ending.py
+++ b/thornport/cell/decisions/ending.py
@@ -17,7 +17,7 @@
 STOP_RETRY_S = 0.4  # an unanswered stop command is sent again after this
 SUSPECT_FAILURES = 2  # failed runs in a row that make a worker suspect
 SUSPECT_S = 4.0  # for which a worker stays suspect
-AVOID_S = 0.5  # for which a worker that rejected a command gets no starts
+AVOID_S = 0.5  # no starts for a worker after an unanswered or failed call
 
 
 class Ending(cellstate.CellState):
--- a/thornport/cell/peers/relaying.py
+++ b/thornport/cell/peers/relaying.py
@@ -135,7 +135,7 @@
         a large answer on a slow link.
         """
         if self.is_unavailable():
-            return result.Failure(port.Unavailable("the store is unavailable"))
+            return result.Failure(port.Unavailable("the store is away"))
         if self._store.is_unavailable():
             return await self._ask_peer(make_question)
         direct = tasks.spawn(call(), "store-call")
@@ -220,9 +220,7 @@
           message: A peering.RelayRead, RelayNewest or RelayCommit.
         """
         if self._store.is_unavailable():
-            outcome = result.Failure(
-                port.Unavailable("the store is unavailable at the peer")
-            )
+            outcome = result.Failure(port.Unavailable("the store is away here too"))
         elif isinstance(message, peering.RelayRead):
             outcome = await self._store.read_key(message.key)
         elif isinstance(message, peering.RelayNewest):
@@ -332,7 +330,7 @@
 def read_outcome(outcome):
     """Return an outcome; None, of a call that raised, becomes an ambiguous failure."""
     if outcome is None:
-        return result.Failure(port.Ambiguous("the store call raised an exception"))
+        return result.Failure(port.Ambiguous("the call failed"))
     return outcome
 
 
--- a/thornport/cell/serving.py
+++ b/thornport/cell/serving.py
@@ -22,8 +22,8 @@
 # A caller that retries near its deadline leaves less time than that; the margin is at
 # most this share of the remaining time.
 ANSWER_MARGIN_SHARE = 0.5
-LATE_REASON = "no outcome before the deadline"
-STOPPING_REASON = "the process is stopping"
+LATE_REASON = "no outcome in the time that is left"
+STOPPING_REASON = "the process stops"
 
 
 class Serving:
--- a/thornport/jobs/intake.py
+++ b/thornport/jobs/intake.py
@@ -136,7 +136,7 @@
         pending.may_be_persisted = self._may_be_persisted(job_record.job_id)
         self._open_count_by_id[job_record.job_id] += 1
         if self._store.is_unavailable() and not pending.may_be_persisted:
-            self._settle(pending, self._refuse("the store is unavailable"), "refused")
+            self._settle(pending, self._refuse("the store is away"), "refused")
             return pending.outcome
         pending.value = record.encode_record(job_record)
         self._notifier.notify_incoming(pending.value)
--- a/thornport/jobs/intake_test.py
+++ b/thornport/jobs/intake_test.py
@@ -87,15 +87,13 @@
 
     def test_submission_is_refused_at_once_for_retry_without_delay(self):
         outcome, took_s = self.submit()
-        self.assertEqual(outcome, intake.Refused("the store is unavailable", 0))
+        self.assertEqual(outcome, intake.Refused("the store is away", 0))
         self.assertLessEqual(took_s, STEP_S)
         self.assertEqual(self.store.commits, 0)
 
     def test_caller_retries_later_while_no_process_reaches_the_store(self):
         self.store.cut_off = False
-        self.assertEqual(
-            self.submit()[0], intake.Refused("the store is unavailable", 1)
-        )
+        self.assertEqual(self.submit()[0], intake.Refused("the store is away", 1))
 
     def test_job_that_may_be_persisted_is_unknown_for_retry_without_delay(self):
         self.store.outcomes = [result.Failure(port.Ambiguous("no answer"))]
--- a/thornport/jobs/reading.py
+++ b/thornport/jobs/reading.py
@@ -61,7 +61,7 @@
         return result.Success(decode(item.value))
     except record.RecordError as error:
         logs.log("record-undecodable", key=item.key, reason=str(error))
-        return result.Failure(port.Unavailable(f"undecodable record: {error}"))
+        return result.Failure(port.Unavailable(f"bad record: {error}"))
 
 
 async def count_waiting(store, queue_name):
