--- a/thornport/cell/daemon.py
+++ b/thornport/cell/daemon.py
@@ -180,7 +180,7 @@
         return self.holding.known_lapses
 
     def get_core(self):
-        """Return the core of the cell if this process owns it, else None."""
+        """Return the core of the cell if this process decides, else None."""
         return self.holding.get_core()
 
     def may_claim(self):
--- a/thornport/cell/peers/candidacy_test.py
+++ b/thornport/cell/peers/candidacy_test.py
@@ -35,8 +35,9 @@
         """Guards against a claim on a live owner that has not been heard yet.
 
         A process learns of an owner some hundredths of a second before it hears it.
-        Three processes started one after another: the owner regained its key 28 and 35
-        ms after the last one had learned of the owner, which claimed 17 ms later.
+        Three processes started one after another, and the owner's key was removed 28
+        and 35 ms after the last process had learned of the owner: that process claimed
+        the cell 17 ms later.
         """
         joined = candidacy.Candidacy("joined", 2.0)
         joined.note_new_owner(10.0)
--- a/thornport/cell/peers/peering.py
+++ b/thornport/cell/peers/peering.py
@@ -12,7 +12,7 @@
     """To the owner, periodically: the sender can call for advice.
 
     Attributes:
-      has_store: Whether the store has answered the sender within the last second.
+      has_store: Whether the store answers the sender and did within the last second.
       cores: The processor cores of the sender's VM.
       is_stopping: Whether the sender was asked to stop.
       up_s: Seconds since the sender was started.
--- a/thornport/cell/peers/receiving.py
+++ b/thornport/cell/peers/receiving.py
@@ -1,6 +1,6 @@
 """Handlers of the messages from other processes of a cell.
 
-Many messages are meant for the owner. A process that does not own the cell drops
+Many messages are meant for the owner. A process that does not decide drops
 those; the sender retries or reads the store instead. A process that is becoming the
 owner already accepts notices of jobs.
 """
--- a/thornport/cell/peers/relaying.py
+++ b/thornport/cell/peers/relaying.py
@@ -172,7 +172,7 @@
             return first
         if not direct.called and self._store.is_unavailable():
             # The direct call is still open: the write may have been applied.
-            return result.Failure(port.Ambiguous("the store has not answered yet"))
+            return result.Failure(port.Ambiguous("no answer yet"))
         second = read_outcome(await answers.get())
         if is_definite(second):
             return second
@@ -187,7 +187,7 @@
             self.peer_addresses = tuple(
                 other for other in self.peer_addresses if other != address
             )
-            return result.Failure(port.Ambiguous("the relaying peer did not answer"))
+            return result.Failure(port.Ambiguous("no answer of a peer"))
         return decode_answer(answer)
 
     def take_answer(self, message):
