--- a/thornport/kernel/__init__.py
+++ b/thornport/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""What every slice shares: time, ids, errors, codec, settings files, logs, metrics."""
+"""Shared by all packages: time, ids, errors, codec, settings files, logs, metrics."""
--- a/thornport/kernel/clock.py
+++ b/thornport/kernel/clock.py
@@ -1,24 +1,23 @@
-"""Time: a monotonic clock inside a process, remaining time between processes.
+"""A monotonic clock within a process, and remaining time between processes.
 
-The clock goes on while the VM is suspended. A right that holds for a time (a lease, an
-answer that was read lately) holds by the clocks of others, and theirs go on meanwhile:
-on a clock that stands still, a process would wake after ten seconds and believe for a
-while that it may still act on what it knew before.
+The clock counts the time in which the VM is suspended. A lease or a recent read expires
+by the clocks of other processes, which go on meanwhile: with a clock that stops, a
+process that resumes after ten seconds would for a while act on rights that have lapsed.
 
-A deadline is a float in seconds on the monotonic clock of the process that
-holds it. It is never sent: what is sent is the time that remains, and the
-receiver turns that into a deadline of its own on arrival.
+A deadline is a float in seconds on the monotonic clock of the process that holds it.
+Deadlines are never sent: messages carry the remaining time, and the receiver computes
+its own deadline from that on arrival.
 """
 
 import time
 
 MS_PER_S = 1000
-# Linux alone has the clock that counts suspension; elsewhere, for development, the
-# usual one has to do.
+# Only Linux has CLOCK_BOOTTIME, which counts suspension; on other systems, used for
+# development, CLOCK_MONOTONIC replaces it.
 _CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
-# Two monotonic clocks are taken to drift apart by at most one part in fifty.
-# Whoever waits for another's lease to lapse waits longer by this factor.
+# Two monotonic clocks are assumed to drift apart by at most one part in fifty. A wait
+# for the lease of another process to lapse is longer by this factor.
 CLOCK_RATE_MARGIN = 1.02
 
 
@@ -26,14 +25,14 @@
     """Read the clock that deadlines are kept on.
 
     Returns:
-      A float, seconds since an arbitrary start, never going back; time in which the
-      VM was suspended counts.
+      A float, seconds since an arbitrary start, including time in which the VM was
+      suspended; it never decreases.
     """
     return time.clock_gettime(_CLOCK_ID)
 
 
 def compute_remaining_ms(deadline, now):
-    """Turn a deadline into the time left, to be sent to another process.
+    """Convert a deadline to the remaining time, to be sent to another process.
 
     Args:
       deadline: A float, seconds on the monotonic clock.
@@ -45,7 +44,7 @@
 
 
 def compute_deadline(remaining_ms, now):
-    """Turn the time left into a deadline of this process.
+    """Convert the remaining time to a deadline of this process.
 
     Args:
       remaining_ms: A number of milliseconds.
--- a/thornport/kernel/codec.py
+++ b/thornport/kernel/codec.py
@@ -1,20 +1,19 @@
-"""Encoding of the messages between thornport's own processes.
+"""Encodes the messages between the processes of thornport.
 
-Messages are msgspec structs with a tag, encoded as MessagePack maps. Fields
-that a receiver does not know are ignored and fields that a sender does not
-know take their defaults, so that mixed versions run side by side in an
-upgrade.
+Messages are tagged msgspec structs, encoded as MessagePack maps. Unknown fields
+are ignored and missing fields take their defaults, so that two versions can run
+side by side during an upgrade.
 """
 
 import msgspec
 
 
 class CodecError(Exception):
-    """Bytes from a peer are not a message of the expected type."""
+    """Bytes from a peer that are not a message of the expected type."""
 
 
 class Message(msgspec.Struct, frozen=True, tag=True, omit_defaults=True):
-    """The base of every message between processes."""
+    """The base class of all messages between processes."""
 
 
 class Codec:
@@ -49,7 +48,7 @@
         Returns:
           A struct of one of the types given at construction.
         Raises:
-          CodecError: The bytes are not such a message.
+          CodecError: The bytes are not a message of those types.
         """
         try:
             return self._decoder.decode(data)
--- a/thornport/kernel/daemons.py
+++ b/thornport/kernel/daemons.py
@@ -1,4 +1,4 @@
-"""Starting the daemons. Kept apart from the command line's own packages."""
+"""Starts and stops the daemons, without importing the command-line packages."""
 
 import os
 import pathlib
@@ -11,7 +11,7 @@
 
 
 class SettingsError(Exception):
-    """The settings of a process can't be read or are wrong."""
+    """The settings of a process are unreadable or invalid."""
 
 
 def load(path, parse_settings):
@@ -33,7 +33,7 @@
 
 
 def load_or_exit(path, parse_settings):
-    """Read the settings of a process, or say what is wrong and exit.
+    """Read the settings of a process, or print their faults and exit.
 
     Args:
       path: A str.
@@ -49,15 +49,15 @@
 
 
 def run(make_daemon, path):
-    """Run a daemon until it is told to stop.
+    """Run a daemon until SIGTERM.
 
     Args:
-      make_daemon: A callable from a reactor and settings to an object with
-        `start()`, and `stop()` giving a Deferred.
-      path: A str, the settings of the process.
+      make_daemon: A callable of a reactor and settings that returns an object with
+        `start()`, and `stop()` returning a Deferred.
+      path: A str, the settings file of the process.
     """
     settings = load_or_exit(path, procconf.parse_settings)
-    # The reactor is imported late, so that a bad file is reported at once.
+    # The reactor is imported late, so that invalid settings are reported at once.
     from twisted.internet import reactor
 
     logs.start_logging(process=settings.process.name)
@@ -68,11 +68,11 @@
 
 
 def end_process():
-    """End this process now, with nothing of the interpreter taken down first.
+    """Exit at once, without the shutdown of the interpreter.
 
-    Its work is done: what it answered was written, and what lasts is in the store. To
-    close some hundred sockets between processes one by one and to free all modules took
-    more than the 0.3 s that a process has left on a VM of half a core: it was killed.
+    At this point all answers are written and durable records are in the store. Closing
+    some hundred sockets to other processes and freeing all modules took more than the
+    0.3 s that a process has left on a VM of half a core, so it was killed.
     """
     for stream in (sys.stdout, sys.stderr):
         stream.flush()
@@ -80,7 +80,7 @@
 
 
 def stop_on_term(reactor, daemon):
-    """Stop in the planned way on SIGTERM: finish what is in flight first.
+    """Handle SIGTERM: stop the daemon, which finishes its work in flight, then exit.
 
     Args:
       reactor: Twisted's reactor.
--- a/thornport/kernel/draining.py
+++ b/thornport/kernel/draining.py
@@ -1,11 +1,11 @@
-"""Serving HTTP so that a process can stop without cutting a request.
-
-Callers use an open connection until it is closed, and a balancer sends new ones for
-some seconds after a process has said that it stops. So requests come until the very
-end, and a process that ends at a set time cuts those that are open then. Here each
-request that was read is counted until its answer is written; from the order to stop on,
-each answer closes its connection; and what is open when the time is over gets its final
-answer then.
+"""HTTP serving that drains: a process can stop without cutting off a request.
+
+Callers reuse an open connection until it is closed, and a load balancer sends new ones
+for some seconds after a process has announced that it stops. Requests therefore arrive
+until the end, and a process that exits at a fixed time would cut off the open ones.
+Each request is counted from when it is read until its answer is written. While the
+process drains, each answer closes its connection, and requests that are open when the
+time is over are answered at that point.
 """
 
 from twisted.internet import defer
@@ -16,85 +16,85 @@
 
 
 class OpenRequests:
-    """The requests of a process that have been read and not been answered yet.
+    """The requests of a process that have been read and not yet answered.
 
     Attributes:
       count: An int.
       is_closing: Whether connections are closed after their answer.
     """
 
-    __slots__ = ("_late_by_wait", "count", "is_closing")
+    __slots__ = ("_make_late_by_waiting", "count", "is_closing")
 
     def __init__(self):
-        """Begin with none."""
+        """Start with no open requests."""
         self.count = 0
         self.is_closing = False
-        self._late_by_wait = {}
+        self._make_late_by_waiting = {}
 
     def close_connections(self):
-        """Close each connection with the next answer on it."""
+        """Close each connection after its next answer from now on."""
         self.is_closing = True
 
     async def wait(self, reactor, running, seconds, make_late):
-        """Wait for the outcome of a request, until it must be answered.
+        """Wait for the outcome of a request until its answer is due.
 
         Args:
           reactor: Twisted's reactor.
-          running: A coroutine or Deferred giving the outcome; it goes on when its
-            outcome comes too late, and that is dropped.
-          seconds: A float, until an answer must go out.
-          make_late: A callable giving the outcome to tell when there is none yet.
+          running: A coroutine or Deferred giving the outcome. It is not cancelled when
+            the answer is due; its late outcome is dropped.
+          seconds: A float, until the answer is due.
+          make_late: A callable giving the outcome to answer if none is there by then.
         Returns:
           The outcome.
         """
-        first = defer.Deferred()
-        self._late_by_wait[first] = make_late
-        timer = reactor.callLater(max(0.0, seconds), self._end, first)
-        defer.ensureDeferred(running).addBoth(fire_once, first)
+        waiting = defer.Deferred()
+        self._make_late_by_waiting[waiting] = make_late
+        timer = reactor.callLater(max(0.0, seconds), self._answer_late, waiting)
+        defer.ensureDeferred(running).addBoth(fire_once, waiting)
         try:
-            return await first
+            return await waiting
         finally:
-            self._late_by_wait.pop(first, None)
+            self._make_late_by_waiting.pop(waiting, None)
             if timer.active():
                 timer.cancel()
 
     def end_waits(self):
-        """Answer now whatever is open; returns how many there were, an int."""
-        waits = list(self._late_by_wait)
-        for first in waits:
-            self._end(first)
+        """Answer all open waits now; returns their number, an int."""
+        waits = list(self._make_late_by_waiting)
+        for waiting in waits:
+            self._answer_late(waiting)
         return len(waits)
 
-    def _end(self, first):
-        make_late = self._late_by_wait.pop(first, None)
+    def _answer_late(self, waiting):
+        make_late = self._make_late_by_waiting.pop(waiting, None)
         if make_late is None:
             return
         try:
             outcome = make_late()
         except Exception:
-            # Its caller gets an error, and the others their answers.
+            # Only this caller gets an error; the others still get their answers.
             outcome = failure.Failure()
-        fire_once(outcome, first)
+        fire_once(outcome, waiting)
 
 
-def fire_once(outcome, first):
-    """Fire a Deferred unless it has fired; a failure that comes too late is logged.
+def fire_once(outcome, waiting):
+    """Fire a Deferred unless it has fired; log a failure that comes too late.
 
     Args:
       outcome: What to fire it with, or a twisted Failure.
-      first: A Deferred.
+      waiting: A Deferred.
     """
-    if not first.called:
-        first.callback(outcome)
+    if not waiting.called:
+        waiting.callback(outcome)
     elif isinstance(outcome, failure.Failure):
         tasks.log_failure(outcome, "late-outcome")
 
 
 class DrainingRequest(server.Request):
-    """A request that is counted, and closes its connection while draining."""
+    """A request that is counted while open and closes its connection when draining."""
 
     def process(self):
-        """Serve the request, which has been read whole."""
+        """Count the request, which has been read whole, and serve it."""
         self._open_requests = self.channel.site.open_requests
         self._open_requests.count += 1
         self.notifyFinish().addBoth(self._note_end)
@@ -104,27 +104,27 @@
         self._open_requests.count -= 1
 
     def write(self, data):
-        """Write a part of the answer; before the first, say if the connection ends."""
+        """Write a chunk; before the first, announce whether the connection closes."""
         is_first = not self.startedWriting and self.channel is not None
         if is_first and self._open_requests.is_closing:
             self.setHeader(b"Connection", b"close")
         if is_first and self.responseHeaders.hasHeader(b"Connection"):
-            # The server closes what it says it will: not all clients heed the header.
+            # The server closes the connection itself: not all clients heed the header.
             self.channel.persistent = False
         super().write(data)
 
 
 class DrainingSite(server.Site):
-    """A site whose process can stop without cutting a request.
+    """A site whose process can stop without cutting off a request.
 
     Attributes:
-      open_requests: The OpenRequests, which sites of a process may share.
+      open_requests: The OpenRequests; the sites of a process may share one.
     """
 
     noisy = False
 
     def __init__(self, root, open_requests, idle_s=None):
-        """Take what to serve.
+        """Create a site that serves a resource.
 
         Args:
           root: A twisted resource.
--- a/thornport/kernel/httpbody.py
+++ b/thornport/kernel/httpbody.py
@@ -1,7 +1,7 @@
-"""Reading the body of an HTTP answer, given up when nothing of it comes any more.
+"""Reads the body of an HTTP answer, with a timeout on silence.
 
-A bound on the whole body would cut a large one on a slow link each time anew; none at
-all would wait for ever on a connection that has fallen silent.
+A short timeout on the whole body would cut a large one on a slow link at every retry;
+without any timeout, a silent connection would be awaited for ever.
 """
 
 from twisted.internet import defer, protocol
@@ -11,18 +11,18 @@
 
 
 class SilentBodyError(Exception):
-    """Nothing of a body came for too long, or it trickled."""
+    """A body paused for too long, or did not end within the limit."""
 
 
 class BodyReader(protocol.Protocol):
-    """Collects a body and gives it up after a pause.
+    """Collects a body, and fails after a long pause or LONGEST_ANSWER_S in all.
 
     Attributes:
       given: A Deferred of bytes.
     """
 
     def __init__(self, reactor, silence_s):
-        """Begin to wait.
+        """Start the timers.
 
         Args:
           reactor: Twisted's reactor.
@@ -31,26 +31,26 @@
         self.given = defer.Deferred()
         self._parts = []
         self._silence_s = silence_s
-        self._timer = reactor.callLater(
+        self._silence_timer = reactor.callLater(
             silence_s, self._give_up, "nothing came", silence_s
         )
-        longest_s = max(silence_s, httpcalls.LONGEST_ANSWER_S)
-        self._longest = reactor.callLater(
-            longest_s, self._give_up, "no end came", longest_s
+        total_s = max(silence_s, httpcalls.LONGEST_ANSWER_S)
+        self._total_timer = reactor.callLater(
+            total_s, self._give_up, "no end came", total_s
         )
 
     def dataReceived(self, data):
-        """Take a part."""
+        """Collect a chunk and restart the silence timer."""
         self._parts.append(data)
-        if self._timer.active():
-            self._timer.reset(self._silence_s)
+        if self._silence_timer.active():
+            self._silence_timer.reset(self._silence_s)
 
     def connectionLost(self, reason):
-        """The body is whole, or was cut."""
+        """Deliver the body, or the error that cut it off."""
         self._stop_timers()
         if self.given.called:
             return
-        # A body without a length ends with its connection.
+        # PotentialDataLoss: a body without a length ends with its connection.
         if reason.check(client.ResponseDone, http.PotentialDataLoss):
             self.given.callback(b"".join(self._parts))
         else:
@@ -59,14 +59,14 @@
     def _give_up(self, what, waited_s):
         self._stop_timers()
         received = sum(len(part) for part in self._parts)
-        told = f"{what} for {waited_s} s after {received} bytes"
-        self.given.errback(SilentBodyError(told))
-        # Nothing is left to be sent, so this ends it at once; the transport of an
-        # Agent has no abortConnection.
+        message = f"{what} for {waited_s} s after {received} bytes"
+        self.given.errback(SilentBodyError(message))
+        # The transport of an Agent has no abortConnection; with nothing left to send,
+        # loseConnection closes at once.
         self.transport.loseConnection()
 
     def _stop_timers(self):
-        for timer in (self._timer, self._longest):
+        for timer in (self._silence_timer, self._total_timer):
             if timer.active():
                 timer.cancel()
 
@@ -79,7 +79,8 @@
       response: A treq response.
       silence_s: A float, the longest pause in seconds.
     Returns:
-      A Deferred of bytes; it fails with SilentBodyError, or with what cut the body.
+      A Deferred of bytes; it fails with SilentBodyError, or with the error that cut
+      the body off.
     """
     reader = BodyReader(reactor, silence_s)
     response.deliverBody(reader)
--- a/thornport/kernel/httpcalls.py
+++ b/thornport/kernel/httpcalls.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 calls to servers that are called often, on kept connections.
+"""HTTP/1.1 client with persistent connections, for servers that are called often.
 
-The owner of a cell makes hundreds of small calls a second, so this is a bare
-protocol over the parser of httptools: about half the processor time of
-Twisted's Agent (docs/PLATFORM.md). It also tells what callers must know of a
-call that failed: whether its request can have reached the server.
+The owner of a cell makes hundreds of small calls a second. This bare protocol
+over the parser of httptools takes about half the processor time of Twisted's
+Agent (docs/PLATFORM.md). The result of a failed call states whether the server
+can have received the request.
 """
 
 import collections
@@ -14,32 +14,32 @@
 from twisted.internet import defer, protocol
 from twisted.internet.error import ConnectionAborted, ConnectionRefusedError
 
-CONNECT_TIMEOUT_S = 1.0  # links have delays of milliseconds; a silent peer is cut
-# What a request may take to be sent, beyond the timeout: the smallest VMs have links of
-# 5 Mbit/s, of which one connection gets a part. A transaction that needs 0.8 s there
-# would otherwise be given up and sent again for ever.
+CONNECT_TIMEOUT_S = 1.0  # links have delays of milliseconds
+# The timeouts of a request are extended by its size at this rate. The smallest VMs have
+# links of 5 Mbit/s shared by several connections; a transaction that needs 0.8 s there
+# would otherwise time out and be sent again for ever.
 SLOWEST_BYTES_PER_S = 250_000
-# An answer of which bytes keep coming is waited for up to this: 1.4 MB, the largest
-# that the store gives, takes 6 s at that rate; five times that serves nobody.
+# The limit of an answer whose bytes keep arriving. The store's largest answer, 1.4 MB,
+# takes 6 s at SLOWEST_BYTES_PER_S; this is five times as long.
 LONGEST_ANSWER_S = 30.0
-# Connections to one address that are left open for late answers, and the most that one
-# of them may bring: a longer answer would take the link from the calls made since.
+# Bounds of the connections to one address that are left open for late answers: their
+# number, and the bytes that each may receive. A longer late answer would use up the
+# bandwidth of later calls.
 MAX_LATE = 8
 MAX_LATE_BYTES = 64 * 1024
 
 
 class CallTimeouts(msgspec.Struct, frozen=True):
-    """How long a call waits.
+    """The timeouts of a call, floats in seconds.
 
     Attributes:
-      begin_s: A float, seconds until its answer begins once connected; to connect may
-        take as long again, CONNECT_TIMEOUT_S at most.
-      pause_s: A float, the longest pause in an answer that has begun; 0 for as long as
-        until it begins.
-      whole_s: A float, until the answer ends; less than the usual only where the answer
-        is small and the call must be made again in time.
-      late_s: A float, how long the connection of a call that was given up is left open
-        for its answer: an overloaded server has no new connection to make then.
+      begin_s: From connected until the answer begins. Connecting may take as long
+        again, but at most CONNECT_TIMEOUT_S.
+      pause_s: The longest pause within an answer that has begun; 0 for begin_s.
+      whole_s: Until the answer ends. Less than LONGEST_ANSWER_S only where the answer
+        is small and the call must be repeated in time.
+      late_s: How long the connection of a call that timed out stays open for a late
+        answer, which spares an overloaded server a new connection.
     """
 
     begin_s: float
@@ -59,13 +59,13 @@
 
 
 class CallError(msgspec.Struct, frozen=True):
-    """A call has no answer."""
+    """A call that got no answer."""
 
     reason: str
 
 
 class NotSent(CallError, frozen=True):
-    """No byte of the request left, so the server has done nothing.
+    """No byte of the request was sent, so the server has done nothing.
 
     Attributes:
       is_refused: Whether the address refused the connection.
@@ -75,10 +75,10 @@
 
 
 class NoAnswer(CallError, frozen=True):
-    """The request may have reached the server, and may be carried out later.
+    """The server may have received the request and may still carry it out.
 
     Attributes:
-      is_broken_off: Whether the connection ended before its time was over.
+      is_broken_off: Whether the connection was lost before the call timed out.
     """
 
     is_broken_off: bool = False
@@ -88,11 +88,11 @@
     """One connection, with one call on it at a time.
 
     Attributes:
-      is_open: Whether it was made and has not ended.
+      is_open: Whether it has been established and not lost.
       heard_at: A float of the reactor's time, when the pool last got it back.
-      note_progress: A callable, called when bytes come; None for none.
-      received: An int, bytes of the answer that have come so far.
-      is_trusted: A bool, whether the caller knows who answers on it.
+      note_progress: A callable, called when bytes arrive; None for none.
+      received: An int, the bytes of the answer received so far.
+      is_trusted: A bool, whether the caller knows which server answers on it.
     """
 
     def __init__(self, pool):
@@ -100,7 +100,7 @@
         self._parser = None
         self._waiting = None
         self._body = []
-        self._keeps = True
+        self._keeps_alive = True
         self._late_timer = None
         self._on_late = None
         self.is_open = False
@@ -110,7 +110,7 @@
         self.is_trusted = False
 
     def connectionMade(self):
-        """Send small requests at once."""
+        """Turn off Nagle's algorithm, so that small requests are sent at once."""
         self.is_open = True
         self.transport.setTcpNoDelay(True)
 
@@ -134,7 +134,7 @@
             self.transport.abortConnection()
 
     def leave_open(self, reactor, seconds, on_late):
-        """Leave the connection open for an answer that nobody waits for any more.
+        """Leave the connection open for the late answer of a call that timed out.
 
         Args:
           reactor: Twisted's reactor.
@@ -146,7 +146,7 @@
         self._pool.late.add(self)
 
     def dataReceived(self, data):
-        """Feed the parser; bytes that are no answer end the connection."""
+        """Feed the parser; abort the connection on bytes outside an answer."""
         if self._parser is None:
             self.transport.abortConnection()
             return
@@ -163,7 +163,7 @@
             self.transport.abortConnection()
 
     def on_body(self, data):
-        """Collect a part of the body; called by the parser."""
+        """Collect a chunk of the body; called by the parser."""
         self._body.append(data)
 
     def on_message_complete(self):
@@ -173,10 +173,10 @@
         if is_late and self._on_late is not None:
             self._on_late()
         parser, self._parser = self._parser, None
-        self._keeps = parser.should_keep_alive()
+        self._keeps_alive = parser.should_keep_alive()
         answer = Answer(parser.get_status_code(), b"".join(self._body))
-        self._pool.last_used = self if self._keeps else None
-        if self._keeps:
+        self._pool.last_used = self if self._keeps_alive else None
+        if self._keeps_alive:
             self._pool.put_back(self)
         else:
             self.transport.loseConnection()
@@ -194,21 +194,21 @@
             waiting.callback(outcome)
 
     def connectionLost(self, reason):
-        """Tell the caller whose answer will not come."""
+        """Fail the call that waits for an answer, if any."""
         self.is_open = False
         self._end_late_timer()
         self._pool.drop(self)
-        is_ours = reason.check(ConnectionAborted) is not None
-        text = "aborted" if is_ours else str(reason.value)
-        self._finish(result.Failure(NoAnswer(text, is_broken_off=not is_ours)))
+        is_aborted_here = reason.check(ConnectionAborted) is not None
+        text = "aborted" if is_aborted_here else str(reason.value)
+        self._finish(result.Failure(NoAnswer(text, is_broken_off=not is_aborted_here)))
 
 
 class Pool:
     """The idle connections to one address.
 
     Attributes:
-      idle: Connections that are kept.
-      last_used: The one whose answer came last, if it is kept; None else.
+      idle: A deque of the Connections that can be reused.
+      last_used: The Connection that answered last, if it is kept alive; else None.
       late: A set of the Connections that are left open for late answers.
     """
 
@@ -221,14 +221,14 @@
         self.late = set()
 
     def may_leave_open(self, connection):
-        """Whether a connection may be left open when its call is given up.
+        """Whether a connection may be left open when its call times out.
 
-        An answer that has begun and stopped is no late one.
+        A connection whose answer has begun and then stopped may not.
         """
         return not connection.received and len(self.late) < MAX_LATE
 
     def take(self):
-        """Take an idle connection, the one used last; None if there is none."""
+        """Remove and return the most recently used idle connection, or None."""
         while self.idle:
             connection = self.idle.pop()
             if connection.is_open:
@@ -236,29 +236,29 @@
         return None
 
     def find_next(self):
-        """The connection that `take` would give; None if there is none."""
+        """Return the connection that `take` would return, or None."""
         return next((one for one in reversed(self.idle) if one.is_open), None)
 
     def put_back(self, connection):
-        """Keep a connection for the next call."""
+        """Return a connection to the idle ones."""
         connection.heard_at = self._reactor.seconds()
         self.idle.append(connection)
 
-    def drop_unheard(self, since):
-        """Close the idle connections of which nothing came since a time.
+    def close_silent(self, since):
+        """Abort the idle connections that received nothing since a point in time.
 
-        Connections may fall silent without a reset, all at once, while new ones work;
-        each would cost a call its time-out.
+        All connections may fall silent at once, without a reset, while new ones work;
+        each would cost one call its timeout.
 
         Args:
-          since: A float of the reactor's time, when a call was sent that timed out.
+          since: A float of the reactor's time, when a call that timed out was sent.
         """
         for connection in [c for c in self.idle if c.heard_at < since]:
             self.idle.remove(connection)
             connection.transport.abortConnection()
 
     def drop(self, connection):
-        """Forget a connection that was lost."""
+        """Remove a lost connection from the idle ones."""
         if connection in self.idle:
             self.idle.remove(connection)
 
@@ -270,7 +270,7 @@
 
 
 class HttpCalls:
-    """Calls servers by address, keeping connections between calls."""
+    """Calls servers by address over a pool of persistent connections for each."""
 
     def __init__(self, reactor):
         """Take the reactor.
@@ -294,9 +294,9 @@
     ):
         """Make one call.
 
-        It is given up for silence, not for the size of its answer: an answer that takes
-        longer than any bound set beforehand would be cut and asked for anew for ever,
-        which kept a configuration of 1 MB from a VM for 20 s.
+        The timeouts apply to silence rather than to the size of the answer. Under a
+        fixed bound, a large answer on a slow link is cut and requested again for ever:
+        a VM went without a configuration of 1 MB for 20 s.
 
         Args:
           address: A str, `IP:PORT`.
@@ -304,9 +304,9 @@
           body: Bytes, JSON; empty for none.
           patience: A CallTimeouts; None for DEFAULT_TIMEOUTS.
           headers: An iterable of pairs of str.
-          on_bytes: A callable, called whenever bytes of the answer come; None for
+          on_bytes: A callable, called whenever bytes of the answer arrive; None for
             none.
-          on_late: A callable, called when the answer comes after the call was given up;
+          on_late: A callable, called when the answer arrives after the call timed out;
             None for none.
         Returns:
           A Result of Answer, NotSent or NoAnswer.
@@ -329,19 +329,19 @@
         waiting = connection.send(data)
 
         def give_up():
-            pool.drop_unheard(sent_at)
+            pool.close_silent(sent_at)
             if timeouts.late_s and pool.may_leave_open(connection):
                 connection.leave_open(self._reactor, timeouts.late_s, on_late)
             waiting.cancel()
 
         sending_s = len(data) / SLOWEST_BYTES_PER_S
-        silence = self._reactor.callLater(timeouts.begin_s + sending_s, give_up)
+        silence_timer = self._reactor.callLater(timeouts.begin_s + sending_s, give_up)
         whole_s = max(timeouts.begin_s, timeouts.whole_s)
-        whole = self._reactor.callLater(whole_s + sending_s, waiting.cancel)
+        total_timer = self._reactor.callLater(whole_s + sending_s, waiting.cancel)
         pause_s = timeouts.pause_s or timeouts.begin_s
 
         def note_progress():
-            silence.reset(pause_s)
+            silence_timer.reset(pause_s)
             if on_bytes is not None:
                 on_bytes()
 
@@ -353,7 +353,7 @@
             return result.Failure(NoAnswer(describe_timeout(took_s, connection)))
         finally:
             connection.note_progress = None
-            for timer in (silence, whole):
+            for timer in (silence_timer, total_timer):
                 if timer.active():
                     timer.cancel()
 
@@ -368,7 +368,7 @@
         return result.Success(opened)
 
     def trust(self, address):
-        """Note of the connection whose answer came last that it is known who answers.
+        """Mark the connection that answered last as one whose server is known.
 
         Args:
           address: A str, `IP:PORT`.
@@ -378,9 +378,9 @@
             pool.last_used.is_trusted = True
 
     def is_trusted(self, address):
-        """Tell whether the next call to an address has a connection that is trusted.
+        """Whether the next call to an address will use a trusted connection.
 
-        What answered on a connection before answers on it again, or nothing does.
+        A connection leads to the same server for as long as it lasts.
 
         Args:
           address: A str, `IP:PORT`.
@@ -388,11 +388,11 @@
           A bool.
         """
         pool = self._pool_by_address.get(address)
-        kept = pool.find_next() if pool is not None else None
-        return kept is not None and kept.is_trusted
+        next_connection = pool.find_next() if pool is not None else None
+        return next_connection is not None and next_connection.is_trusted
 
     def forget(self, address):
-        """Close the idle connections to an address that is not needed now.
+        """Close the idle connections to an address that is no longer called.
 
         Args:
           address: A str, `IP:PORT`.
@@ -403,12 +403,12 @@
 
 
 def describe_timeout(took_s, connection):
-    """Describe a call that was given up.
+    """Describe a call that timed out.
 
-    Whether bytes of its answer had come tells a slow link from a silent server.
+    The number of bytes received tells a slow link from a silent server.
 
     Args:
-      took_s: A float, the time that it had.
+      took_s: A float, seconds from sending until the timeout.
       connection: Its Connection.
     Returns:
       A str.
--- a/thornport/kernel/ids.py
+++ b/thornport/kernel/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers, and the stable hashing that spreads keys over members."""
+"""Identifiers, and rendezvous hashing that spreads keys over members."""
 
 import itertools
 import secrets
@@ -6,26 +6,26 @@
 import xxhash
 
 INCARNATION_BYTES = 6
-# Of all 64: counts of two lives begin so far apart that they never meet, and none runs
-# over.
+# Of 64 bits: the ranges of two incarnations start far apart and do not meet, and no
+# counter overflows.
 FIRST_NUMBER_BITS = 62
 
 
 def make_incarnation():
-    """Make an id for one life of a process.
+    """Make an id for one incarnation of a process.
 
     Returns:
-      A str that no other life of any process has.
+      A str that no other incarnation of any process has.
     """
     return secrets.token_hex(INCARNATION_BYTES)
 
 
 def count_from_random():
-    """Count from a number that no other life of a process begins near.
+    """Count up from a random number, far from that of any other incarnation.
 
-    Questions carry such numbers, and their answers may come when the process that asked
-    has been started again, or asks for another purpose: with numbers from 1 on, such an
-    answer was taken for that of another question.
+    The numbers identify questions. An answer may arrive after the process that asked
+    has restarted, or while it asks for another purpose; with numbers from 1 on, such an
+    answer was taken for the answer to another question.
 
     Returns:
       An iterator of ints that rise by one.
@@ -34,12 +34,12 @@
 
 
 def weigh_by_rendezvous(key, member_id):
-    """Weigh a member for a key; the highest weight comes first for it.
+    """Compute the weight of a member for a key; the highest weight ranks first.
 
     Args:
       key, member_id: A str each.
     Returns:
-      A pair that no other member has for the key.
+      A pair of the hash and the member id, distinct for each member.
     """
     text = f"{member_id}\x00{key}"
     return xxhash.xxh3_64_intdigest(text.encode()), member_id
@@ -48,14 +48,14 @@
 def rank_by_rendezvous(key, member_ids):
     """Order members by highest random weight for a key.
 
-    Taking a member away leaves the order of the others as it was, so the
-    next in order inherits its keys.
+    Removing a member does not change the order of the others, so the next in
+    order inherits its keys.
 
     Args:
       key: A str.
       member_ids: An iterable of str.
     Returns:
-      A list of the member ids, the one that comes first for the key first.
+      A list of the member ids by falling weight.
     """
     return sorted(
         member_ids, key=lambda one: weigh_by_rendezvous(key, one), reverse=True
--- a/thornport/kernel/inifile.py
+++ b/thornport/kernel/inifile.py
@@ -1,7 +1,7 @@
-"""INI files with the line of every section and key.
+"""Parses INI files and keeps the line number of every section and key.
 
-The parser is iniconfig's. It stops at the first line it cannot read, so such
-a line is set aside and the rest is read again, until all bad lines are known.
+The parser is iniconfig, which stops at the first syntax error. The faulty line is
+blanked and the text parsed again, so that all syntax errors are reported.
 """
 
 import difflib
@@ -15,7 +15,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One `key = value` and its line."""
+    """One `key = value` and its line number."""
 
     key: str
     value: str
@@ -23,7 +23,7 @@
 
 
 class Section(msgspec.Struct, frozen=True):
-    """One `[name]`, its line and its entries by key."""
+    """One `[name]`, its line number and its entries by key."""
 
     name: str
     line: int
@@ -31,7 +31,7 @@
 
 
 class Document(msgspec.Struct, frozen=True):
-    """All sections of one file by name, with the problems of its syntax."""
+    """All sections of one file by name, and its syntax problems."""
 
     path: str
     by_name: dict[str, Section]
@@ -39,13 +39,13 @@
 
 
 def parse_text(path, text):
-    """Read the text of an INI file.
+    """Parse the text of an INI file.
 
     Args:
       path: A str naming the source in problems.
       text: A str.
     Returns:
-      A Document. Its problems are empty if the syntax is right.
+      A Document; its problems are empty if the syntax is valid.
     """
     lines = text.splitlines()
     problems = []
@@ -75,7 +75,7 @@
     Args:
       document: The Document the entry is from.
       entry: An Entry.
-      field_type: A type as msgspec understands it, with its constraints.
+      field_type: A type that msgspec supports, with its constraints.
     Returns:
       A pair of the value, or None, and a Problem, or None.
     """
@@ -87,14 +87,14 @@
 
 
 def convert_section(document, section, struct_type):
-    """Convert a whole section to a struct, finding every fault in it.
+    """Convert a section to a struct, collecting all of its faults.
 
     Args:
       document: The Document the section is from.
       section: A Section.
       struct_type: A msgspec struct type, a field for each key.
     Returns:
-      A pair of the struct, or None if there are faults, and a list of Problem.
+      A pair of the struct, or None if there are faults, and a list of Problems.
     """
     fields = {field.name: field for field in msgspec.structs.fields(struct_type)}
     values = {}
@@ -119,7 +119,7 @@
 
 
 def convert_document(document, struct_type):
-    """Convert a whole file to a struct, finding every fault in it.
+    """Convert a file to a struct, collecting all of its faults.
 
     Args:
       document: A Document.
@@ -150,14 +150,14 @@
 
 
 def describe_unknown(what, name, known):
-    """Say that a name is unknown, with the nearest known one.
+    """Describe an unknown name and suggest the closest known one.
 
     Args:
       what: A str, the kind of thing named.
       name: A str.
       known: An iterable of str.
     Returns:
-      A str for a person.
+      A str, the message.
     """
     nearest = difflib.get_close_matches(name, list(known), n=1)
     hint = f"; did you mean {nearest[0]}?" if nearest else ""
--- a/thornport/kernel/lean.py
+++ b/thornport/kernel/lean.py
@@ -1,7 +1,7 @@
-"""Leaving out of a daemon what it does not use, before Twisted is imported.
+"""Keeps unused packages out of a daemon; called before Twisted is imported.
 
-Twisted imports OpenSSL wherever it is installed, which costs 12 MB resident
-(docs/CAPACITY.md). No daemon speaks TLS yet.
+Twisted imports OpenSSL if it is installed, which costs 12 MB of resident memory
+(docs/CAPACITY.md). No daemon uses TLS yet.
 """
 
 import sys
@@ -10,9 +10,9 @@
 
 
 def leave_out_tls():
-    """Make the TLS packages look absent in this process.
+    """Make the TLS packages look uninstalled in this process.
 
-    Twisted then goes without them. Only imports made after this are affected.
+    Twisted then runs without them. Only later imports are affected.
     """
     for name in TLS_PACKAGES:
         sys.modules.setdefault(name, None)
--- a/thornport/kernel/logs.py
+++ b/thornport/kernel/logs.py
@@ -1,7 +1,6 @@
-"""Logs: one line of key=value pairs for each event, by eliot.
+"""Structured logs: eliot events, written as one line of key=value pairs each.
 
-Eliot builds the events; the destination here prints each as one line, so
-that the platform's collector needs no parser of its own.
+The log collector of the platform reads such lines without a parser of its own.
 """
 
 import collections
@@ -12,18 +11,18 @@
 import eliot
 
 LEFT_OUT_KEYS = frozenset({"task_uuid", "task_level", "timestamp", "message_type"})
-# Of one event; the users' two-year size has 45 task starts a second at its peak
-# over several owners, a burst some times as many.
+# For each event name. The users' two-year size has 45 task starts a second at its peak
+# over several owners, and several times as many in a burst.
 MAX_LINES_PER_S = 400
-MAX_PENDING_BYTES = 262_144  # a second or two of lines under load
+MAX_PENDING_BYTES = 262_144  # one or two seconds of lines under load
 CHARS_TO_QUOTE = frozenset(' "=')
 
 
 class LineDestination:
-    """Writes eliot's events as lines of key=value pairs, within a bound.
+    """Writes eliot's events as lines of key=value pairs, with a rate limit.
 
-    In any second an event may have MAX_LINES_PER_S lines; the others are
-    counted, and told of in one line when the second is over.
+    In each second, at most MAX_LINES_PER_S lines are written for each event name. The
+    rest are counted, and reported in one line with the first event of a later second.
     """
 
     __slots__ = ("_count_by_name", "_second", "_stream")
@@ -39,27 +38,27 @@
         self._count_by_name = collections.Counter()
 
     def __call__(self, event):
-        """Write one event, unless its second is full.
+        """Write one event, unless its name has reached the limit of this second.
 
         Args:
-          event: A dict, as eliot gives it.
+          event: A dict, as passed by eliot.
         """
         second = int(event.get("timestamp", 0))
         if second != self._second:
-            self._tell_left_out(event)
+            self._write_left_out(event)
             self._second = second
         name = read_name(event)
         self._count_by_name[name] += 1
         if self._count_by_name[name] <= MAX_LINES_PER_S:
             self._write(format_event(event))
 
-    def _tell_left_out(self, event):
+    def _write_left_out(self, event):
         for name, count in self._count_by_name.items():
             if count > MAX_LINES_PER_S:
-                told = {"message_type": "lines-left-out", "of": name}
-                told |= {"count": count - MAX_LINES_PER_S}
-                told |= {"timestamp": event.get("timestamp", 0)}
-                self._write(format_event(told))
+                summary = {"message_type": "lines-left-out", "of": name}
+                summary |= {"count": count - MAX_LINES_PER_S}
+                summary |= {"timestamp": event.get("timestamp", 0)}
+                self._write(format_event(summary))
         self._count_by_name.clear()
 
     def _write(self, line):
@@ -68,10 +67,10 @@
 
 
 class NonBlockingStream:
-    """Writes to a descriptor without ever waiting for its reader.
+    """Writes to a descriptor without blocking on its reader.
 
-    What the reader has not taken is kept up to a bound; lines beyond that are
-    dropped, and the first line after says how many.
+    Unwritten bytes are buffered up to MAX_PENDING_BYTES. Lines beyond that are dropped,
+    and their number is reported ahead of the next line that is accepted.
     """
 
     def __init__(self, descriptor):
@@ -100,7 +99,7 @@
         self._pending += line.encode()
 
     def flush(self):
-        """Write what the reader takes now."""
+        """Write as much of the buffer as the descriptor accepts now."""
         try:
             written = os.write(self._descriptor, self._pending)
         except BlockingIOError:
@@ -132,7 +131,7 @@
 
 
 def format_value(value):
-    """Format a value, in quotes if it would break the line apart.
+    """Format a value, quoted as JSON if it would break the line format.
 
     Args:
       value: Anything.
@@ -142,7 +141,7 @@
     text = str(value)
     if text and text.isprintable() and not CHARS_TO_QUOTE.intersection(text):
         return text
-    # Some readers end a line at other signs than the line feed.
+    # Some readers end a line at characters other than the line feed.
     return json.dumps(text, ensure_ascii=not text.isprintable())
 
 
@@ -151,7 +150,7 @@
 
     Args:
       stream: A text stream; standard error when None.
-      constants: Pairs that every line of this process carries.
+      constants: Fields added to every line of this process.
     """
     eliot.add_global_fields(**constants)
     eliot.add_destinations(LineDestination(stream or sys.stderr))
@@ -162,6 +161,6 @@
 
     Args:
       event: A str, the name of the event.
-      pairs: What there is to say of it.
+      pairs: The fields of the event.
     """
     eliot.log_message(message_type=event, **pairs)
--- a/thornport/kernel/looplag.py
+++ b/thornport/kernel/looplag.py
@@ -1,8 +1,8 @@
-"""How far behind its work a process is: how late the timers of its reactor fire.
+"""Measures reactor lag: how late the timers of a process fire.
 
-A process with more work than its processor does keeps each timer waiting for what
-came before it. So the lateness of timers tells what callers feel, whatever the size of
-the VM and whoever else uses it; used processor time tells neither.
+In an overloaded process each timer waits for the work queued before it. Timer lateness
+therefore shows the delay that callers see, whatever the size of the VM and its other
+load; the processor time used does not.
 """
 
 import collections
@@ -11,19 +11,19 @@
 from thornport.kernel import clock, logs, tasks
 
 SAMPLE_PERIOD_S = 0.05
-# A second: one long step (records read, a large answer) is no sign of too much work.
+# One second in all: one long step (reading records, a large answer) is no overload.
 SAMPLES = 20
-# Peers take a process that is silent for twice as long as one that is gone.
+# Peers take a process that is silent for twice this time as gone.
 STALL_S = 0.15
 
 
 class LagMeter:
-    """Measures the reactor of this process."""
+    """Measures the lag of the reactor of this process."""
 
     __slots__ = ("_late_s", "_reactor")
 
     def __init__(self, reactor):
-        """Take the reactor; nothing is measured yet.
+        """Create a meter that is not started yet.
 
         Args:
           reactor: Twisted's reactor.
@@ -32,7 +32,7 @@
         self._late_s = collections.deque(maxlen=SAMPLES)
 
     def start(self):
-        """Begin to measure."""
+        """Start measuring."""
         tasks.spawn(self._measure(), "measure-lag")
 
     async def _measure(self):
@@ -46,23 +46,23 @@
                 log_stall(late_s, time.process_time() - worked_s)
 
     def take_sample(self, late_s):
-        """Take how late a timer fired, a float in seconds."""
+        """Record how late a timer fired, a float in seconds."""
         self._late_s.append(max(0.0, late_s))
 
     def read_s(self):
-        """The mean lateness of the last second, a float; 0 before there is one."""
+        """Return the mean lag in seconds over the last SAMPLES; 0.0 until it has them."""
         if len(self._late_s) < SAMPLES:
             return 0.0
         return sum(self._late_s) / SAMPLES
 
 
 def log_stall(late_s, worked_s):
-    """Log that the reactor did not come to a timer in time.
+    """Log that the reactor fired a timer late.
 
     Args:
-      late_s: A float, how late it was.
-      worked_s: A float, how much processor time this process had meanwhile: little of
-        one that was not run, and most of it of one that had a long step to do.
+      late_s: A float, how late the timer fired.
+      worked_s: A float, the processor time that this process used meanwhile: little if
+        it was not scheduled, and most of the time if it ran one long step.
     """
     logs.log(
         "loop-stalled",
--- a/thornport/kernel/metrics.py
+++ b/thornport/kernel/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics by statsd over UDP, and the same counts kept for reports.
+"""Metrics sent to statsd over UDP, and kept in memory for reports.
 
-A daemon has one Metrics. Counters are summed here and sent once a second,
-so that the hot path costs one dictionary update and no packet.
+Each daemon has one Metrics. Counters are summed here and sent once a second, so that
+a count on the hot path costs one dictionary update and no packet.
 """
 
 import collections
@@ -10,20 +10,20 @@
 from hdrh import histogram
 
 FLUSH_PERIOD_S = 1.0
-LONGEST_US = 60_000_000  # of a histogram; no call of ours waits for a minute
-SIGNIFICANT_DIGITS = 2  # 1% is finer than any decision taken on them
+LONGEST_US = 60_000_000  # the limit of a histogram; no call waits for a minute
+SIGNIFICANT_DIGITS = 2  # 1%, finer than any decision based on the histograms
 
 
 class Metrics:
-    """The counters and gauges of one process."""
+    """The counters, latency histograms and gauges of one process."""
 
     __slots__ = ("_client", "_sent_by_name", "count_by_name", "histogram_by_name")
 
     def __init__(self, host=None, port=0, prefix="thornport"):
-        """Open the socket, or none.
+        """Create the metrics, and the statsd client if there is a host.
 
         Args:
-          host: An IP number, or None to keep the counts only.
+          host: A str, the IP address of statsd; None to send nothing.
           port: An int, the UDP port.
           prefix: A str before every name.
         """
@@ -48,11 +48,11 @@
           name: A str, dotted.
           value_ms: A float, milliseconds.
         """
-        kept = self.histogram_by_name.get(name)
-        if kept is None:
-            kept = histogram.HdrHistogram(1, LONGEST_US, SIGNIFICANT_DIGITS)
-            self.histogram_by_name[name] = kept
-        kept.record_value(min(LONGEST_US, max(1, int(value_ms * 1000))))
+        latencies = self.histogram_by_name.get(name)
+        if latencies is None:
+            latencies = histogram.HdrHistogram(1, LONGEST_US, SIGNIFICANT_DIGITS)
+            self.histogram_by_name[name] = latencies
+        latencies.record_value(min(LONGEST_US, max(1, int(value_ms * 1000))))
 
     def set_gauge(self, name, value):
         """Send a gauge now.
@@ -65,7 +65,7 @@
             self._client.gauge(name, value)
 
     def flush(self):
-        """Send what the counters have gained since the last time."""
+        """Send the increase of each counter since the last flush."""
         if not self._client:
             return
         with self._client.pipeline() as pipeline:
--- a/thornport/kernel/metricsweb.py
+++ b/thornport/kernel/metricsweb.py
@@ -1,12 +1,12 @@
-"""Counters and latency histograms of a process as text, over HTTP."""
+"""Serves the counters and latency histograms of a process as text over HTTP."""
 
 import klein
 
-QUANTILES = (50, 90, 99)  # percent, what operators compare
+QUANTILES = (50, 90, 99)  # percent; those that operators compare
 
 
 def make_app(metrics):
-    """Make the interface.
+    """Create the web application with the route `/metrics`.
 
     Args:
       metrics: A metrics.Metrics.
@@ -24,7 +24,7 @@
 
 
 def format_metrics(metrics):
-    """Format all counters and histograms, a line each figure.
+    """Format all counters and histograms, one figure per line.
 
     Args:
       metrics: A metrics.Metrics.
--- a/thornport/kernel/problem.py
+++ b/thornport/kernel/problem.py
@@ -1,4 +1,4 @@
-"""A fault in something an operator or a caller wrote, with its place."""
+"""Faults in text written by an operator or a caller, with their location."""
 
 import msgspec
 
@@ -7,9 +7,9 @@
     """One fault found by a check.
 
     Attributes:
-      path: A str, the file it stands in.
-      line: An int, counted from 1; 0 when the fault is of the whole file.
-      text: A str for a person, saying what is wrong and what would be right.
+      path: A str, the file that has the fault.
+      line: An int, counted from 1; 0 when the fault concerns the whole file.
+      text: A str for the reader, stating what is wrong and what is expected.
     """
 
     path: str
@@ -21,10 +21,10 @@
 
 
 class ProblemsError(Exception):
-    """A check failed; carries every problem it found."""
+    """A failed check, with every problem found."""
 
     def __init__(self, problems):
-        """Keep the problems in the order of the source.
+        """Store the problems, sorted by path and line.
 
         Args:
           problems: A list of Problem, not empty.
--- a/thornport/kernel/procconf.py
+++ b/thornport/kernel/procconf.py
@@ -1,4 +1,4 @@
-"""Settings of a process: an INI file, checked whole before anything starts."""
+"""Settings of a process: an INI file, validated as a whole before startup."""
 
 from typing import Annotated
 
@@ -11,10 +11,10 @@
 
 
 class Process(msgspec.Struct, frozen=True):
-    """Who and where this process is.
+    """The identity and location of this process.
 
     Attributes:
-      name: A str, the same over restarts and different for each process.
+      name: A str, unique to the process and the same across restarts.
       vm, hall, region: A str each, where the process runs.
     """
 
@@ -25,11 +25,11 @@
 
 
 class Listen(msgspec.Struct, frozen=True):
-    """What this process listens on; port 0 lets the kernel choose.
+    """The addresses this process listens on; port 0 lets the kernel choose.
 
     Attributes:
-      peer_address: A str, `IP:PORT` that peers are told, where that is not
-        the one bound.
+      peer_address: A str, the `IP:PORT` announced to peers, if it differs from the
+        bound one; empty otherwise.
     """
 
     ip: str
@@ -39,13 +39,13 @@
 
 
 class Platform(msgspec.Struct, frozen=True):
-    """Where the platform's services are.
+    """The services of the platform and how they are called.
 
     Attributes:
       store: A str, `http://IP:PORT` of the key-value service.
       vms: A str, the URL of the list of VMs.
       store_timeout_s: A float, the longest wait for an answer.
-      vms_period_s: A float, between two reads of the list.
+      vms_period_s: A float, the interval between reads of the list.
     """
 
     store: str
@@ -55,15 +55,15 @@
 
 
 class Peers(msgspec.Struct, frozen=True):
-    """How processes of thornport keep in touch.
+    """How processes of thornport find and monitor each other.
 
     Attributes:
-      seeds: A str, addresses `IP:PORT` split at commas, tried when the
-        store is down at the start.
-      beat_s: A float, between two heartbeats.
-      lease_s: A float, how long a promise between members holds.
-      vm_gone_s: A float, how long a VM must be missing from the list, which
-        has this process' own VM, until nothing is running there any more.
+      seeds: A str, comma-separated addresses `IP:PORT`, tried when the store is down
+        at startup.
+      beat_s: A float, the heartbeat interval.
+      lease_s: A float, the duration of a lease between members.
+      vm_gone_s: A float, how long a VM must be missing from a list that contains this
+        process' own VM until nothing is taken to run there any more.
     """
 
     seeds: str = ""
@@ -73,14 +73,14 @@
 
 
 class MetricsTo(msgspec.Struct, frozen=True):
-    """Where statsd listens; no address, no metrics sent."""
+    """The address of statsd; no metrics are sent if it is empty."""
 
     ip: str = ""
     port: Port = 8125
 
 
 class ProcessSettings(msgspec.Struct, frozen=True):
-    """All sections of the file."""
+    """The settings file, a field for each section."""
 
     process: Process
     listen: Listen
@@ -90,7 +90,7 @@
 
 
 def parse_settings(path, text):
-    """Check the settings of a process.
+    """Parse and validate the settings of a process.
 
     Args:
       path: A str naming the file in problems.
--- a/thornport/kernel/tasks.py
+++ b/thornport/kernel/tasks.py
@@ -1,4 +1,4 @@
-"""Running coroutines and periodic work in the reactor without losing errors."""
+"""Runs coroutines and periodic work in the reactor and logs their errors."""
 
 import traceback
 
@@ -6,12 +6,12 @@
 
 from thornport.kernel import logs
 
-# Of work that takes some 0.05 ms an item: 25 ms, well below the shortest heartbeat.
+# At about 0.05 ms an item, a part takes 25 ms, well below the shortest heartbeat.
 PART_ITEMS = 500
 
 
 def spawn(coroutine, what):
-    """Run a coroutine to its end, logging what it raises.
+    """Run a coroutine to its end and log what it raises.
 
     Args:
       coroutine: A coroutine.
@@ -29,7 +29,7 @@
 
     Args:
       failure: A twisted Failure.
-      what: A str, what was being done.
+      what: A str, the name of the work that failed.
     """
     if failure.check(defer.CancelledError):
         return
@@ -38,15 +38,15 @@
 
 
 def call_periodically(reactor, period_s, action, what):
-    """Call an action for ever, whatever it raises.
+    """Call an action periodically; its errors are logged and do not end the loop.
 
     Args:
       reactor: Twisted's reactor.
       period_s: A float, seconds.
-      action: A callable of no arguments; what it returns is waited for.
+      action: A callable of no arguments; a Deferred that it returns is awaited.
       what: A str for the log.
     Returns:
-      The LoopingCall, to be stopped.
+      The LoopingCall, which the caller can stop.
     """
 
     def act():
@@ -67,7 +67,7 @@
       seconds: A float, until the timer fires.
       end_wait: A callable of no arguments that fires or cancels the Deferred.
     Returns:
-      What the Deferred gives.
+      The result of the Deferred.
     """
     timer = reactor.callLater(seconds, end_wait)
     try:
@@ -78,12 +78,12 @@
 
 
 async def act_in_parts(reactor, items, act):
-    """Do much work without holding up the reactor for long.
+    """Process a long list in parts, yielding to the reactor after each.
 
     Args:
       reactor: Twisted's reactor.
       items: A list.
-      act: A callable of a part of the list; called for each, in order.
+      act: A callable of a part of the list, called for each part in order.
     """
     for start in range(0, len(items), PART_ITEMS):
         act(items[start : start + PART_ITEMS])
@@ -91,12 +91,12 @@
 
 
 def sleep(reactor, seconds):
-    """Wait.
+    """Wait for a time.
 
     Args:
       reactor: Twisted's reactor.
       seconds: A float.
     Returns:
-      A Deferred.
+      A Deferred that fires after that time.
     """
     return task.deferLater(reactor, seconds)
--- a/thornport/kernel/testcount.py
+++ b/thornport/kernel/testcount.py
@@ -26,7 +26,7 @@
 
 
 class TestCount(nose2.events.Plugin):
-    """Counts outcomes and prints the closing line."""
+    """Counts test outcomes and prints the closing line."""
 
     configSection = "test-count"
     commandLineSwitch = (None, "test-count", "Close with `N passed, N failed`")
@@ -38,7 +38,7 @@
         self.known_red = read_known_red(KNOWN_RED)
 
     def testOutcome(self, event):
-        """Count one outcome and forgive the known red ones.
+        """Count one outcome; a known red failure does not fail the run.
 
         Args:
           event: A nose2 TestOutcomeEvent.
@@ -49,7 +49,7 @@
         if event.outcome == "skipped":
             return
         if event.outcome == "subtest" and event.exc_info is None:
-            # A part that went well; its test is counted when it is over.
+            # A subtest that passed; its test is counted when it ends.
             return
         test_id = event.test.id().split("\n")[0]
         self.failed_ids.append(test_id)
--- a/thornport/kernel/webreply.py
+++ b/thornport/kernel/webreply.py
@@ -1,16 +1,16 @@
-"""Answers of the processes' HTTP interfaces: JSON, and refusals that say when."""
+"""JSON answers of the HTTP interfaces, and refusals with a time to retry."""
 
 import msgspec
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """The body of an answer that is no success."""
+    """The body of an error answer."""
 
     error: str
 
 
 def answer(request, status, body):
-    """Answer.
+    """Set the status and content type of a JSON answer.
 
     Args:
       request: A twisted request.
@@ -25,13 +25,13 @@
 
 
 def refuse(request, status, reason, retry_s=1):
-    """Answer that nothing is known to be done, and when to come back.
+    """Refuse a request of which nothing is known to be done, with a time to retry.
 
     Args:
       request: A twisted request.
       status: An int.
       reason: A str.
-      retry_s: An int, seconds.
+      retry_s: An int, seconds until the caller should retry.
     Returns:
       Bytes, the body.
     """
