--- a/thornport/once/__init__.py
+++ b/thornport/once/__init__.py
@@ -1,1 +1,1 @@
-"""At most once: a request with a caller's key runs at most one time."""
+"""Runs a request with an idempotency key at most once, by votes of replicas."""
--- a/thornport/once/claims.py
+++ b/thornport/once/claims.py
@@ -1,6 +1,7 @@
-"""The entry's side: claims a caller's key with its holders before it runs.
+"""The entry's side: claims an idempotency key at its holders before the request runs.
 
-Pure: messages and time in, messages and verdicts out.
+Does no I/O: the caller passes in messages and the time, and sends the messages
+that are returned.
 """
 
 import enum
@@ -16,9 +17,10 @@
 
 
 class Decision(enum.Enum):
-    """What the holders' votes come to.
+    """The outcome of the holders' votes.
 
-    FRESH: the request may run, and nobody else's may. All others: it may not.
+    FRESH: the request may run, and no other request with the key may. With any
+    other decision it must not run.
     """
 
     FRESH = "fresh"
@@ -38,10 +40,10 @@
 
 
 class ClaimResult(msgspec.Struct, frozen=True):
-    """The end of a claim.
+    """The result of a decided claim.
 
     Attributes:
-      answer: The kept answer, with DONE; None if it was not kept.
+      answer: The stored answer if the decision is DONE; None if it was not stored.
     """
 
     claim_id: str
@@ -50,7 +52,7 @@
 
 
 class Pending(msgspec.Struct):
-    """A claim that holders are voting on."""
+    """A claim and the votes received for it."""
 
     key: str
     holders: list[record.Member]
@@ -59,10 +61,10 @@
 
 
 class Claims:
-    """The claims of one entry, each open until it is finished or released."""
+    """The claims of one entry, each kept until it is finished or released."""
 
     def __init__(self):
-        """Start with no claims."""
+        """Create an empty set of claims."""
         self._incarnation = ids.make_incarnation()
         self._next = 0
         self._pending_by_id = {}
@@ -78,8 +80,8 @@
           life_ms: An int.
           now: A float.
         Returns:
-          A pair of the claim's id and a list of pairs of Member and Claim;
-          the list is empty if there is no ring.
+          A pair of the claim's id and a list of pairs of Member and Claim to
+          send; the list is empty if there is no ring.
         """
         self._next += 1
         claim_id = f"{self._incarnation}-{self._next}"
@@ -95,7 +97,7 @@
           sender_id: A str.
           voted: A messages.Voted.
         Returns:
-          A ClaimResult if the claim has come to its end, else None.
+          A ClaimResult if the vote decides the claim, else None.
         """
         pending = self._pending_by_id.get(voted.claim_id)
         if pending is None:
@@ -119,26 +121,26 @@
         return ClaimResult(claim_id, decision, answer)
 
     def expire(self, now):
-        """End the claims whose holders stay silent.
+        """Decide the claims whose holders have not all voted in time.
 
         Args:
           now: A float.
         Returns:
           A list of ClaimResult.
         """
-        late = [c for c, p in self._pending_by_id.items() if now >= p.give_up_at]
+        overdue = [c for c, p in self._pending_by_id.items() if now >= p.give_up_at]
         results = []
-        for claim_id in late:
+        for claim_id in overdue:
             votes = list(self._pending_by_id[claim_id].vote_by_id.values())
             results.append(self._end(claim_id, decide_without_quorum(votes)))
         return results
 
     def finish(self, claim_id, answer):
-        """Tell the holders that the request has ended, or may have run.
+        """Report to the holders that the request has ended or may have run.
 
         Args:
           claim_id: A str of a FRESH claim.
-          answer: An outcome.Answer to keep, or None.
+          answer: An outcome.Answer to store, or None.
         Returns:
           A list of pairs of Member and messages.Done.
         """
@@ -147,10 +149,10 @@
         return [(member, done) for member in pending.holders]
 
     def release(self, claim_id):
-        """Tell the holders that the request was not run and will not be.
+        """Report to the holders that the request has not run and will not run.
 
         Args:
-          claim_id: A str of a claim that has come to its end.
+          claim_id: A str of a decided claim.
         Returns:
           A list of pairs of Member and messages.Release.
         """
@@ -160,7 +162,7 @@
 
 
 def decide_without_quorum(votes):
-    """Rule on a claim that too few holders have granted.
+    """Decide a claim that too few holders have granted.
 
     Args:
       votes: A list of messages.Vote.
--- a/thornport/once/holder.py
+++ b/thornport/once/holder.py
@@ -1,13 +1,15 @@
-"""The holder's side: records of claimed keys in memory, handed on with the ring.
-
-A key has up to three holders, in different halls where there are. A claim
-runs only when two of them have written it, so two claims of one key always
-meet at a holder. When the ring changes, each member asks all others for the
-records that it should now hold, and votes only when it has them. Where so
-many holders were lost at once that a record may be lost with them, it says
-so, and the caller is told that the request may have run.
-
-Pure: messages and time in, messages out.
+"""The holder's side: replicated in-memory records of claimed idempotency keys.
+
+A key has up to three holders, in different halls if possible. A claim's request
+runs only after two of them (or the only one) have recorded the claim, so any two
+claims of one key have a holder in common. When the ring changes, each member asks
+all others for the records that it should now hold, and votes on new keys only once
+it can rely on having them. If so many holders are lost at once that a record may be
+lost with them, the remaining holders vote DOUBT and the caller is notified that the
+request may have run.
+
+Does no I/O: the caller passes in messages and the time, and sends the messages
+that are returned.
 """
 
 import heapq
@@ -23,18 +25,18 @@
 
 
 class Holder:
-    """The records of one member.
+    """The records that one member holds.
 
     Attributes:
-      records_by_key: A dict of Record.
+      records_by_key: A dict of records.Record.
     """
 
     def __init__(self, me, max_records=MAX_RECORDS):
-        """Start with no records.
+        """Create a holder without records.
 
         Args:
-          me: A str, the member id.
-          max_records: An int; past it no claim is granted.
+          me: A str, the id of this member.
+          max_records: An int; no claim of a new key is granted once it is reached.
         """
         self._me = me
         self._max_records = max_records
@@ -50,15 +52,15 @@
 
     @property
     def ring(self):
-        """The newest ring known here, a record.Ring."""
+        """The newest ring this member knows, a record.Ring."""
         return self._settling.ring
 
     def close(self):
-        """Grant nothing any more: this member is about to leave."""
+        """Stop granting claims of new keys, because this member is about to leave."""
         self._is_closing = True
 
     def take_ring(self, ring, now):
-        """Take a new ring; records are then asked for.
+        """Switch to a new ring, whose records are then requested from the members.
 
         Args:
           ring: A record.Ring of a higher epoch.
@@ -70,7 +72,7 @@
         self._settle_if_done(now)
 
     def list_to_ask(self, now):
-        """List the members to ask for records.
+        """List the members that have to be asked for records.
 
         Args:
           now: A float.
@@ -82,31 +84,31 @@
         return awaited
 
     def answer_ask(self, sender_id, ask, now):
-        """Give a member the records that it should hold in the new ring.
+        """Answer a member's request for the records that it should hold in the ring.
 
         Args:
           sender_id: A str.
           ask: A messages.AskRecords.
           now: A float.
         Returns:
-          A list of messages.Records, empty if this process knows another ring.
+          A list of messages.Records, empty if this member has a different ring.
         """
         if not ask.epoch or ask.epoch != self.ring.epoch:
             return []
-        kept = [
-            self._pack(key, entry, now)
+        packed = [
+            self._pack_record(key, entry, now)
             for key, entry in self.records_by_key.items()
             if records.is_holder(self.ring.members, sender_id, key)
         ]
         step = RECORDS_PER_PART
-        chunks = [kept[n : n + step] for n in range(0, len(kept), step)] or [[]]
+        chunks = [packed[n : n + step] for n in range(0, len(packed), step)] or [[]]
         doubts = [records.pack_doubt(live, now) for live in self._doubts]
         return [
             messages.Records(ask.epoch, part, len(chunks), chunk, doubts, self._base)
             for part, chunk in enumerate(chunks)
         ]
 
-    def _pack(self, key, entry, now):
+    def _pack_record(self, key, entry, now):
         remaining_ms = clock.compute_remaining_ms(entry.expires_at, now)
         return messages.KeptRecord(
             key,
@@ -118,7 +120,7 @@
         )
 
     def take_records(self, sender_id, part, now):
-        """Take a part of another member's records.
+        """Merge one part of another member's records.
 
         Args:
           sender_id: A str.
@@ -127,13 +129,13 @@
         """
         if part.epoch != self.ring.epoch or not self._settling.is_awaited(sender_id):
             return
-        for kept in part.records:
-            self._adopt(kept, now)
+        for received in part.records:
+            self._merge_record(received, now)
         for doubt in part.doubts:
             self._add_doubt(doubt, now)
         if sender_id in self.ring.member_ids:
-            # Only a member keeps what the ring should hold; one that has
-            # left settles with nothing.
+            # Only the base of a current member counts: one that has left
+            # settles without holding any records.
             self._bases_by_epoch[part.base.epoch] = part.base
         seen = self._parts_by_sender.setdefault(sender_id, set())
         seen.add(part.part)
@@ -141,39 +143,41 @@
             self._settling.mark_answered(sender_id)
             self._settle_if_done(now)
 
-    def _adopt(self, kept, now):
-        expires_at = clock.compute_deadline(kept.remaining_ms, now)
-        known = self.records_by_key.get(kept.key)
+    def _merge_record(self, received, now):
+        expires_at = clock.compute_deadline(received.remaining_ms, now)
+        known = self.records_by_key.get(received.key)
         if known is None:
-            made = records.Record(list(kept.claim_ids), kept.digest, expires_at)
-            made.is_done, made.answer = kept.is_done, kept.answer
-            self._write(kept.key, made)
+            created = records.Record(
+                list(received.claim_ids), received.digest, expires_at
+            )
+            created.is_done, created.answer = received.is_done, received.answer
+            self._write(received.key, created)
             return
-        for claim_id in kept.claim_ids:
+        for claim_id in received.claim_ids:
             if claim_id not in known.claim_ids:
                 known.claim_ids.append(claim_id)
-        if kept.is_done and not known.is_done:
-            self._end_record(known, kept.answer)
+        if received.is_done and not known.is_done:
+            self._mark_done(known, received.answer)
 
-    def _end_record(self, entry, answer):
-        self._answer_bytes -= records.measure_answer(entry)
+    def _mark_done(self, entry, answer):
+        self._answer_bytes -= records.compute_answer_size(entry)
         entry.is_done = True
         entry.answer = answer
-        self._answer_bytes += records.measure_answer(entry)
+        self._answer_bytes += records.compute_answer_size(entry)
 
     def _write(self, key, entry):
         self._drop(key)
         self.records_by_key[key] = entry
-        self._answer_bytes += records.measure_answer(entry)
+        self._answer_bytes += records.compute_answer_size(entry)
         heapq.heappush(self._expiries, (entry.expires_at, key))
 
     def _drop(self, key):
         entry = self.records_by_key.pop(key, None)
         if entry:
-            self._answer_bytes -= records.measure_answer(entry)
+            self._answer_bytes -= records.compute_answer_size(entry)
 
     def _settle_if_done(self, now):
-        """Work out what may be lost, once all have said what they hold."""
+        """Add doubts for records that may be lost once all members have answered."""
         if not self._settling.is_settled:
             return
         if self._base.epoch == self.ring.epoch:
@@ -182,16 +186,16 @@
         newest_ms = max(lost_ms_by_id.values(), default=0)
         lost_ms_by_id |= dict.fromkeys(self._settling.silent_leavers, newest_ms)
         for base in self._bases_by_epoch.values():
-            self._doubt_since(base, lost_ms_by_id, now)
+            self._add_doubts_since(base, lost_ms_by_id, now)
         lost_ids = tuple(sorted(lost_ms_by_id))
         self._base = messages.Base(self.ring.epoch, self.ring.members, lost_ids)
 
-    def _doubt_since(self, base, lost_ms_by_id, now):
-        """Doubt each ring since a base of which too many were lost.
+    def _add_doubts_since(self, base, lost_ms_by_id, now):
+        """Add a doubt for each ring since a base that lost a quorum of holders.
 
-        A record that all its holders were lost with was written in one of
-        the rings from the oldest base of a member of this ring on. A member
-        that never had a base has them all since the oldest ring known.
+        A record lost with all its holders was written in the oldest base of any
+        member of this ring or in a later ring. If no member of this ring has a
+        base, all rings since the oldest known one count.
         """
         if base.epoch == 0 and self._has_other_base():
             return
@@ -223,7 +227,7 @@
 
         Args:
           claim: A messages.Claim.
-          may_act: A bool, whether this member surely is still in the ring.
+          may_act: A bool, whether this member is certain to be in the ring still.
           now: A float.
         Returns:
           A messages.Voted.
@@ -246,7 +250,7 @@
         return messages.Voted(claim.claim_id, messages.Vote.HELD)
 
     def _vote_on_new(self, claim, now):
-        if not self._may_vote(claim):
+        if not self._can_vote(claim):
             return messages.Vote.UNSETTLED
         if self._is_doubted(claim.key):
             return messages.Vote.DOUBT
@@ -255,49 +259,49 @@
             return messages.Vote.FULL
         expires_at = clock.compute_deadline(claim.life_ms, now)
         claim_ids = [claim.claim_id]
-        made = records.Record(claim_ids, claim.digest, expires_at, claim.claim_id)
-        self._write(claim.key, made)
+        created = records.Record(claim_ids, claim.digest, expires_at, claim.claim_id)
+        self._write(claim.key, created)
         return messages.Vote.GRANTED
 
-    def _may_vote(self, claim):
-        """Tell whether this member would have an earlier record of the key."""
+    def _can_vote(self, claim):
+        """Return whether this member would have any earlier record of the key."""
         if self._is_closing or claim.epoch != self.ring.epoch:
             return False
         if not records.is_holder(self.ring.members, self._me, claim.key):
             return False
         if self._settling.is_settled:
             return True
-        # Until all have answered, a holder of the ring just before still has
-        # all that was claimed there, if it had settled then.
+        # Before all members have answered, a holder of the key in the previous
+        # ring still has every claim made there if it had settled in that ring.
         if self._base.epoch != self.ring.epoch - 1:
             return False
         return records.is_holder(self._base.members, self._me, claim.key)
 
     def _is_doubted(self, key):
-        """Tell whether a record of the key may be lost with its holders."""
+        """Return whether a record of the key may be lost with its holders."""
         for live in self._doubts:
             doubt = live.doubt
             holders = record.pick_holders(doubt.members, key, messages.HOLDERS)
             lost = [m for m in holders if m.member_id in doubt.lost_ids]
             quorum = messages.QUORUM_BY_HOLDERS[len(holders)]
-            made_ms = records.read_key_time(key)
-            made_before = made_ms is None or made_ms <= doubt.lost_ms + CLOCK_SKEW_MS
-            if len(lost) >= quorum and made_before:
+            made_ms = records.extract_key_time_ms(key)
+            is_older = made_ms is None or made_ms <= doubt.lost_ms + CLOCK_SKEW_MS
+            if len(lost) >= quorum and is_older:
                 return True
         return False
 
     def take_done(self, done):
-        """Keep the end of a request.
+        """Record that a request has ended.
 
         Args:
           done: A messages.Done.
         """
         entry = self.records_by_key.get(done.key)
         if entry and done.claim_id in entry.claim_ids:
-            self._end_record(entry, done.answer)
+            self._mark_done(entry, done.answer)
 
     def take_release(self, release):
-        """Forget a claim whose request was not run.
+        """Remove a claim whose request has not run and will not run.
 
         Args:
           release: A messages.Release.
@@ -312,7 +316,7 @@
             self._drop(release.key)
 
     def expire(self, now):
-        """Forget what is too old.
+        """Remove expired records and doubts.
 
         Args:
           now: A float.
--- a/thornport/once/messages.py
+++ b/thornport/once/messages.py
@@ -1,4 +1,4 @@
-"""The messages by which a caller's key is claimed before its request runs."""
+"""Messages that claim an idempotency key before its request runs."""
 
 import enum
 
@@ -8,19 +8,21 @@
 from thornport.membership import record
 from thornport.routing import outcome
 
-# How long a key is remembered at most; settings may say less, never more.
+# Upper bound of how long a key is remembered; settings may only lower it.
 MAX_KEY_LIFE_S = 600.0
 HOLDERS = 3
 QUORUM_BY_HOLDERS = {1: 1, 2: 2, 3: 2}
 
 
 class Vote(enum.Enum):
-    """What a holder says to a claim.
-
-    GRANTED: it has written the claim. HELD: another claim came first and has
-    not ended. DONE: the request has ended. REUSED: the key stands for another
-    request. DOUBT: a record of the key may have been lost. UNSETTLED: it may
-    not have all records yet, or knows another ring. FULL: no memory is left.
+    """A holder's vote on a claim.
+
+    GRANTED: the holder has recorded the claim. HELD: an earlier claim of the key
+    is still open. DONE: the request has ended. REUSED: the key belongs to a
+    different request. DOUBT: a record of the key may have been lost. UNSETTLED:
+    the holder may not have all records yet, has a different ring, is not a holder
+    of the key or is leaving, or may no longer be a member. FULL: the holder has
+    no room for another record.
     """
 
     GRANTED = "granted"
@@ -33,14 +35,14 @@
 
 
 class Claim(codec.Message):
-    """Asks a holder to write a claim.
+    """Asks a holder to record a claim.
 
     Attributes:
-      epoch: An int, the ring that the holder was chosen in.
-      key: A str, the workspace and the caller's key.
-      claim_id: A str, of this one attempt.
-      digest: Bytes, of the request.
-      life_ms: An int, how long the key is to be remembered.
+      epoch: An int, the epoch of the ring from which the holder was picked.
+      key: A str, the workspace, a slash and the caller's idempotency key.
+      claim_id: A str, unique to this attempt.
+      digest: Bytes, the digest of the request.
+      life_ms: An int, how long the holder remembers the key.
     """
 
     epoch: int
@@ -54,9 +56,9 @@
     """A holder's answer to a claim.
 
     Attributes:
-      claim_id: A str, from the claim.
+      claim_id: A str, copied from the claim.
       vote: A Vote.
-      answer: The kept answer, with DONE; None if it was not kept.
+      answer: The stored answer if the vote is DONE; None if it was not stored.
     """
 
     claim_id: str
@@ -65,10 +67,10 @@
 
 
 class Done(codec.Message):
-    """The request of a claim has ended, or may have run and is given up.
+    """Reports that the request of a claim has ended, or is given up and may have run.
 
     Attributes:
-      answer: None if the answer is lost or too large to keep.
+      answer: None if the answer is lost or too large to store.
     """
 
     key: str
@@ -77,20 +79,20 @@
 
 
 class Release(codec.Message):
-    """The request of a claim was not run and will not be."""
+    """Reports that the request of a claim has not run and will not run."""
 
     key: str
     claim_id: str
 
 
 class AskRecords(codec.Message):
-    """A member asks another for the records it should hold in a new ring."""
+    """Asks a member for the records that the sender should hold in a new ring."""
 
     epoch: int
 
 
 class KeptRecord(msgspec.Struct, frozen=True):
-    """One record, as members hand it to each other."""
+    """The record of one key, as sent between members."""
 
     key: str
     claim_ids: tuple[str, ...]
@@ -101,14 +103,14 @@
 
 
 class Doubt(msgspec.Struct, frozen=True):
-    """Members lost between two settled rings, who may have held a record
-    that nobody else has.
+    """Members lost between two settled rings that may have held the only copies
+    of a record.
 
     Attributes:
-      members: A ring since the records were last complete.
-      lost_ids: Members of it that were lost since.
+      members: The members of a ring since the records were last complete.
+      lost_ids: The ids of those members that have been lost since.
       lost_ms: An int, wall-clock milliseconds of the last loss.
-      remaining_ms: An int, how long the doubt lasts.
+      remaining_ms: An int, the time until the doubt expires.
     """
 
     members: tuple[record.Member, ...]
@@ -118,12 +120,12 @@
 
 
 class Base(msgspec.Struct, frozen=True):
-    """The ring in which a member last had all records that it should hold.
+    """The last ring in which a member had all records that it should hold.
 
     Attributes:
-      epoch: An int; 0 for a member that never had.
-      members: The ring.
-      lost_ids: Members known as lost by then.
+      epoch: An int; 0 for a member that has never had all its records.
+      members: The members of the ring.
+      lost_ids: The ids of members known to be lost at that time.
     """
 
     epoch: int = 0
@@ -135,10 +137,10 @@
 
 
 class Records(codec.Message):
-    """A part of the answer to AskRecords.
+    """One part of the answer to AskRecords.
 
     Attributes:
-      part, parts: Ints, which part of how many, counted from 0.
+      part, parts: Ints, the index of this part, from 0, and the number of parts.
       base: The Base of the sender.
     """
 
--- a/thornport/once/once_test.py
+++ b/thornport/once/once_test.py
@@ -1,8 +1,8 @@
-"""Property: a key's request runs at most once, whatever happens to holders.
+"""Property: a key's request runs at most once, whatever happens to its holders.
 
-Real holders and claims are driven through delayed, lost and repeated messages,
-deaths, departures, joins and members that know an older ring. What the guard
-promises is taken as given: a member that was removed no longer votes.
+Drives real holders and claims through delayed, lost and duplicated messages,
+crashes, departures, joins and members with an outdated ring. Assumes what the guard
+guarantees: a member that was removed no longer votes on new keys.
 """
 
 import random
@@ -22,20 +22,20 @@
 
 
 class Member:
-    """One entry: holder and claimant."""
+    """One entry, which holds records and makes claims."""
 
     def __init__(self, me, ring, now):
         self.me = me
         self.holder = holder.Holder(me.member_id)
         self.claims = claims.Claims()
-        self.acts = True
+        self.may_act = True
         self.alive = True
         self.key_by_claim = {}
         self.holder.take_ring(ring, now)
 
 
 class Model:
-    """Members, messages on their way, and how often each key ran."""
+    """Members, messages in transit, and the number of runs of each key."""
 
     def __init__(self, choices, members=4):
         self.choices = choices
@@ -43,9 +43,9 @@
         self.wall_ms = 1_000_000
         self.ring = record.NO_RING
         self.by_id = {}
-        self.flying = []
+        self.in_transit = []
         self.runs_by_key = dict.fromkeys(KEYS, 0)
-        self.fresh = 0
+        self.fresh_count = 0
         for _ in range(members):
             self.join()
 
@@ -60,33 +60,33 @@
         if handed_over:
             member.holder.close()
         else:
-            member.acts = False
+            member.may_act = False
         self.ring = record.remove_member(
             self.ring, member_id, handed_over, self.wall_ms, 10**9
         )
 
     def send(self, sender, target, message):
-        """Let a message fly for a while, be lost, or come twice."""
+        """Delay, drop or duplicate a message at random."""
         for _ in range(self.choices.choice((0, 1, 1, 1, 1, 1, 2))):
             delay = self.choices.choice((0.0, 0.0, 0.0, 0.1, 0.4, 2.0))
-            self.flying.append((self.now + delay, sender, target, message))
+            self.in_transit.append((self.now + delay, sender, target, message))
 
     def deliver(self):
-        due = [m for m in self.flying if m[0] <= self.now]
-        self.flying = [m for m in self.flying if m[0] > self.now]
+        due = [m for m in self.in_transit if m[0] <= self.now]
+        self.in_transit = [m for m in self.in_transit if m[0] > self.now]
         for _, sender, target, message in due:
             if self.by_id[target].alive:
-                self.take(sender, self.by_id[target], message)
+                self.handle(sender, self.by_id[target], message)
 
-    def take(self, sender, member, message):
+    def handle(self, sender, member, message):
         me = member.me.member_id
         if isinstance(message, messages.Claim):
-            vote = member.holder.take_claim(message, member.acts, self.now)
+            vote = member.holder.take_claim(message, member.may_act, self.now)
             self.send(me, sender, vote)
         elif isinstance(message, messages.Voted):
             result = member.claims.take_vote(sender, message)
             if result:
-                self.rule(member, result)
+                self.end_claim(member, result)
         elif isinstance(message, messages.AskRecords):
             for part in member.holder.answer_ask(sender, message, self.now):
                 self.send(me, sender, part)
@@ -97,19 +97,19 @@
         else:
             member.holder.take_release(message)
 
-    def rule(self, member, result):
+    def end_claim(self, member, result):
         key = member.key_by_claim.pop(result.claim_id)
-        gives_up = self.choices.random() < 0.2
-        if result.decision is not claims.Decision.FRESH or gives_up:
-            said = member.claims.release(result.claim_id)
+        is_given_up = self.choices.random() < 0.2
+        if result.decision is not claims.Decision.FRESH or is_given_up:
+            outgoing = member.claims.release(result.claim_id)
         else:
-            self.fresh += 1
+            self.fresh_count += 1
             self.runs_by_key[key] += 1
             assert self.runs_by_key[key] <= 1, key
-            said = member.claims.finish(result.claim_id, None)
+            outgoing = member.claims.finish(result.claim_id, None)
             if self.choices.random() < 0.3:
-                said = []
-        for target, message in said:
+                outgoing = []
+        for target, message in outgoing:
             self.send(member.me.member_id, target.member_id, message)
 
     def act(self, member):
@@ -119,27 +119,29 @@
         for asked in member.holder.list_to_ask(self.now):
             self.send(me, asked, messages.AskRecords(member.holder.ring.epoch))
         for result in member.claims.expire(self.now):
-            self.rule(member, result)
+            self.end_claim(member, result)
         if self.choices.random() < 0.1:
             key = self.choices.choice(KEYS)
-            claim_id, said = member.claims.start(
+            claim_id, outgoing = member.claims.start(
                 member.holder.ring, key, DIGEST, LIFE_MS, self.now
             )
             member.key_by_claim[claim_id] = key
-            for target, message in said:
+            for target, message in outgoing:
                 self.send(me, target.member_id, message)
 
-    def disturb(self):
-        kind = self.choices.choice(("kill", "wake", "leave", "join", "join", "die"))
+    def inject_fault(self):
+        kind = self.choices.choice(("kill", "evict", "leave", "join", "join", "die"))
         members = [self.by_id[m] for m in self.ring.member_ids]
         member = self.choices.choice(members)
         if kind == "join" and len(members) < 7:
             self.join()
         elif kind == "die":
-            left = [m for i, m in self.by_id.items() if i not in self.ring.member_ids]
-            if left:
-                self.choices.choice(left).alive = False
-        elif kind in ("kill", "wake", "leave") and len(members) > 1:
+            removed = [
+                m for i, m in self.by_id.items() if i not in self.ring.member_ids
+            ]
+            if removed:
+                self.choices.choice(removed).alive = False
+        elif kind in ("kill", "evict", "leave") and len(members) > 1:
             member.alive = kind != "kill"
             self.remove(member, handed_over=kind == "leave")
 
@@ -147,7 +149,7 @@
         self.now += STEP_S
         self.wall_ms += int(STEP_S * 1000)
         if self.choices.random() < 0.05:
-            self.disturb()
+            self.inject_fault()
         self.deliver()
         for member in list(self.by_id.values()):
             if member.alive:
@@ -155,7 +157,7 @@
 
 
 class AtMostOnce(unittest.TestCase):
-    """Runs of one key."""
+    """Guards against a second run of a key after the loss of messages or holders."""
 
     @hypothesis.settings(max_examples=100, derandomize=True, deadline=None)
     @hypothesis.given(st.integers(0, 2**32))
@@ -166,8 +168,8 @@
 
     def test_keys_are_granted_after_one_holder_dies(self):
         model = Model(random.Random(5))
-        model.disturb = lambda: None
-        model.send = lambda *message: model.flying.append((model.now, *message))
+        model.inject_fault = lambda: None
+        model.send = lambda *message: model.in_transit.append((model.now, *message))
         for _ in range(3):
             model.step()
         dead = model.by_id[model.ring.member_ids[0]]
@@ -186,12 +188,12 @@
             me = record.Member(name, name, name, name, "h0")
             ring = record.add_member(ring, me, 1_000_000, 10**9)
             holders_by_id[name] = holder.Holder(name)
-        settle(holders_by_id, ring)
+        exchange_records(holders_by_id, ring)
         first = record.pick_holders(ring.members, old, messages.HOLDERS)
         for lost in first[:2]:
             ring = record.remove_member(ring, lost.member_id, False, 1_500_000, 10**9)
             del holders_by_id[lost.member_id]
-        settle(holders_by_id, ring)
+        exchange_records(holders_by_id, ring)
         for key, expected in (
             (old, messages.Vote.DOUBT),
             (new, messages.Vote.GRANTED),
@@ -203,13 +205,13 @@
 
 
 def make_key(made_ms):
-    """Make a key that is a UUID of version 7, the same for the same time."""
+    """Make a key from a UUID of version 7 that depends only on the given time."""
     value = made_ms << records.UUID7_TIME_SHIFT | 7 << 76 | 2 << 62
     return f"press/{uuid.UUID(int=value)}"
 
 
-def settle(holders_by_id, ring):
-    """Let all members take a ring and exchange their records, losing nothing."""
+def exchange_records(holders_by_id, ring):
+    """Give all members a ring and let them exchange records without loss."""
     for each in holders_by_id.values():
         each.take_ring(ring, 0.0)
     for me, each in holders_by_id.items():
--- a/thornport/once/records.py
+++ b/thornport/once/records.py
@@ -1,7 +1,4 @@
-"""What is kept of claimed keys, and what a key and a record tell by themselves.
-
-The data of `holder`, and the functions over it that need nothing else.
-"""
+"""Records of claimed keys, and stateless functions on keys and records."""
 
 import uuid
 
@@ -12,17 +9,17 @@
 from thornport.once import messages
 
 UUID7_VERSION = 7
-UUID7_TIME_SHIFT = 80  # bits below the milliseconds
+UUID7_TIME_SHIFT = 80  # number of bits below the timestamp
 
 
 class Record(msgspec.Struct):
-    """What is kept of one key.
+    """The state of one claimed key.
 
     Attributes:
-      claim_ids: A list of str: the claim granted here and those granted by
-        other holders, as any of them may be the one that ran. The key is
-        free again only when each of them is released.
-      granted_id: A str, the claim granted here; empty if none was.
+      claim_ids: A list of str, the claims granted by this holder and by others.
+        Any of them may have run, so the key is free again only when all of them
+        are released.
+      granted_id: A str, the claim granted by this holder; empty if there is none.
     """
 
     claim_ids: list[str]
@@ -34,14 +31,14 @@
 
 
 class LiveDoubt(msgspec.Struct):
-    """A messages.Doubt with its deadline here."""
+    """A messages.Doubt with its deadline on the local clock."""
 
     doubt: messages.Doubt
     expires_at: float
 
 
 def is_holder(members, member_id, key):
-    """Tell whether a member is one of the holders of a key.
+    """Return whether a member is one of the holders of a key.
 
     Args:
       members: A tuple of record.Member.
@@ -55,7 +52,7 @@
 
 
 def pack_doubt(live, now):
-    """Turn a doubt's deadline into the time left.
+    """Convert a doubt for sending, with its deadline as the time remaining.
 
     Args:
       live: A LiveDoubt.
@@ -67,18 +64,18 @@
     return msgspec.structs.replace(live.doubt, remaining_ms=remaining_ms)
 
 
-def measure_answer(entry):
-    """Measure the kept answer of a record, in bytes."""
+def compute_answer_size(entry):
+    """Compute the size of a record's stored answer in bytes."""
     return len(entry.answer.body) if entry.answer else 0
 
 
-def read_key_time(key):
-    """Read when a key was made, if it tells (a UUID of version 7).
+def extract_key_time_ms(key):
+    """Extract the creation time of a key that is a UUID of version 7.
 
     Args:
       key: A str, the workspace, a slash and the caller's key.
     Returns:
-      An int of wall-clock milliseconds, or None.
+      An int of wall-clock milliseconds, or None for any other key.
     """
     try:
         parsed = uuid.UUID(key.rpartition("/")[2])
