--- a/thornport/membership/guard.py
+++ b/thornport/membership/guard.py
@@ -1,31 +1,32 @@
-"""Which member may act, without asking the store: promises around the ring.
-
-Each member beats to all others. Its successor, the next in the ring, answers
-with a promise not to remove it for the length of a lease. A member acts only
-while it holds its successor's promise, so a member that was paused or cut off
-stops by itself. Only the successor may remove a member, by compare-and-swap
-in the store, once every promise that could keep the member acting has lapsed.
-
-Who becomes the successor anew must know that no former one still promises.
-It knows when the predecessor has beaten to it at the new epoch, or when a
-chain of members that have not heard of the new epoch must have run dry: each
-of them needs a voucher of the same epoch, so the chain ends at the first
-member that has moved on, one lease for each link.
-
-The successor promises only while it has itself a voucher that it was not
-removed: the promise of its own successor, a recent read of the ring in the
-store, or recent answers at the same epoch from every member. So whoever
-removes it knows when its last promise to others ends.
-
-Pure: messages and time in, messages out. Times are seconds, floats.
+"""Membership leases around the ring: which member may act without asking the store.
+
+Each member sends heartbeats to all others. Its successor, the next member in the
+ring, answers with a lease, a promise not to remove it for that long. A member
+acts only while it holds its successor's lease, so a member that was paused or
+partitioned stops by itself. Only the successor may remove a member, by
+compare-and-swap in the store, once every lease that could let it act has expired.
+
+A new successor must know that no former successor's lease is still valid. It
+knows this one lease after the predecessor's heartbeat at the new epoch. Without
+that heartbeat, it waits until the chain of members that may not know the new epoch
+has expired: each of them needs a proof of membership at its own epoch, so the
+chain ends at the first member that has advanced, after one lease for each link.
+
+The successor grants a lease only while it can prove that it was a member itself:
+by its own successor's lease, a recent read of the ring in the store, or recent
+acknowledgements at the same epoch from every member. This bounds when the last
+lease that it granted expires, which the member that removes it relies on.
+
+The guard does no I/O: messages and time go in, messages come out. Times are
+monotonic seconds, floats.
 """
 
 from thornport.kernel import clock, codec
 from thornport.membership import record
 
-# What a member that lost its voucher may still have promised ends within two
-# leases: its voucher lasts one, and the promise it gives last lasts another.
-LEASES_UNTIL_CLEAR = 2
+# Leases granted by a member that lost its proof of membership expire within two
+# leases: the proof lasts one, and the last lease that it grants lasts another.
+LEASES_UNTIL_REMOVABLE = 2
 NEVER = float("-inf")
 
 
@@ -33,9 +34,9 @@
     """A member's heartbeat.
 
     Attributes:
-      token: A float, the sender's clock; only handed back.
-      epoch: An int, the ring the sender knows.
-      revision: An int, the settings the sender has in force.
+      token: A float, the sender's clock, echoed in the acknowledgement.
+      epoch: An int, the epoch of the newest ring that the sender knows.
+      revision: An int, the revision of the settings that the sender has in force.
     """
 
     token: float
@@ -44,13 +45,14 @@
 
 
 class Ack(codec.Message):
-    """The answer to a beat.
+    """The acknowledgement of a heartbeat.
 
     Attributes:
-      token: A float, from the beat.
-      epoch: An int, the ring the sender knows.
-      lease_ms: An int, the promise not to remove; 0 for none.
-      revision: An int, the settings the sender has in force.
+      token: A float, copied from the heartbeat.
+      epoch: An int, the epoch of the newest ring that the sender knows.
+      lease_ms: An int, how long the sender will not remove the member; 0 for no
+        lease.
+      revision: An int, the revision of the settings that the sender has in force.
     """
 
     token: float
@@ -60,64 +62,65 @@
 
 
 class Guard:
-    """The promises of one member.
+    """The leases that one member holds and grants.
 
     Attributes:
-      me: A record.Member.
+      me: A record.Member, this process.
       ring: A record.Ring, the newest known.
-      heard_at_by_id: When each member was last heard.
+      heard_at_by_id: A dict from member id to the time of its last message.
     """
 
     __slots__ = (
         "_acked_token_by_id",
-        "_clear_at",
+        "_is_predecessor_heard",
+        "_lease_expires_at",
         "_lease_s",
-        "_others_to_hear",
-        "_predecessor_beat",
         "_predecessor_epoch",
-        "_promised_until",
         "_read_at",
+        "_removable_at",
         "_removing_epoch",
-        "_successor_since",
+        "_successor_since_epoch",
+        "_unheard_ids",
         "heard_at_by_id",
         "me",
         "ring",
     )
 
     def __init__(self, me, lease_s):
-        """Start outside any ring.
+        """Create a guard that knows no ring.
 
         Args:
-          me: A record.Member.
-          lease_s: A float, seconds that a promise holds.
+          me: A record.Member, this process.
+          lease_s: A float, the length of a lease in seconds.
         """
         self.me = me
         self.ring = record.NO_RING
         self.heard_at_by_id = {}
         self._lease_s = lease_s
-        self._promised_until = NEVER
+        self._lease_expires_at = NEVER
         self._read_at = NEVER
         self._acked_token_by_id = {}
-        # About the predecessor: since which epoch it is, the newest epoch it
-        # surely knows, whether it has beaten in that time, from when it is
-        # surely not acting (None: not yet known), and whom to hear first.
-        self._successor_since = 0
+        # About the predecessor: the epoch in which it became the predecessor, the
+        # newest epoch that it is known to have seen, whether it has sent a
+        # heartbeat since that epoch, the time from which it may be removed (None
+        # while unknown), and the other members not yet heard at that epoch.
+        self._successor_since_epoch = 0
         self._predecessor_epoch = 0
-        self._predecessor_beat = False
-        self._clear_at = None
-        self._others_to_hear = set()
-        # The epoch in which this member has set out to remove its
-        # predecessor. The write may be applied though its answer is lost, so
-        # no promise is given again before the epoch has risen.
+        self._is_predecessor_heard = False
+        self._removable_at = None
+        self._unheard_ids = set()
+        # The epoch in which this member started to remove its predecessor. The
+        # write may be applied though its answer is lost, so the predecessor gets no
+        # new lease until the epoch has risen.
         self._removing_epoch = None
 
     @property
     def is_member(self):
-        """Whether this process is in the ring it knows."""
+        """Whether this process is in the newest ring that it knows."""
         return self.me.member_id in self.ring.member_ids
 
     def was_removed(self):
-        """Tell whether the ring has gone on without this member.
+        """Check whether this member was in an earlier ring but not in the newest.
 
         Returns:
           A bool.
@@ -128,7 +131,9 @@
         return any(member.member_id == self.me.member_id for member in before)
 
     def may_act(self, now):
-        """Tell whether this member surely has not been removed.
+        """Check whether this member certainly has not been removed.
+
+        It holds a valid lease of its successor, or is alone in the ring.
 
         Args:
           now: A float.
@@ -139,13 +144,13 @@
             return False
         if len(self.ring.members) == 1:
             return True
-        return now < self._promised_until
+        return now < self._lease_expires_at
 
     def make_beat(self, revision, now):
-        """Make the beat to send to every other member.
+        """Create the heartbeat for every other member.
 
         Args:
-          revision: An int, the settings in force.
+          revision: An int, the revision of the settings in force.
           now: A float.
         Returns:
           A Beat.
@@ -153,15 +158,15 @@
         return Beat(now, self.ring.epoch, revision)
 
     def take_ring(self, ring, now, read_at=None):
-        """Take a ring if it is newer.
+        """Adopt a ring if it is newer than the known one.
 
         Args:
           ring: A record.Ring.
           now: A float.
-          read_at: A float, when the read of the store that gave it was
-            begun; None if it came from a peer.
+          read_at: A float, when the read of the ring from the store began; None for
+            a ring from a peer.
         Returns:
-          A bool, whether the epoch rose.
+          A bool, whether the ring was newer.
         """
         if read_at is not None and ring.epoch >= self.ring.epoch:
             self._read_at = max(self._read_at, read_at)
@@ -172,72 +177,72 @@
         self._acked_token_by_id.clear()
         predecessor = record.find_predecessor(ring, self.me.member_id)
         if predecessor != old_predecessor:
-            self._start_watching(predecessor, now)
-        self._others_to_hear &= set(ring.member_ids)
-        self._check_clear(now)
+            self._reset_predecessor(predecessor, now)
+        self._unheard_ids &= set(ring.member_ids)
+        self._update_removable_at(now)
         return True
 
-    def _start_watching(self, predecessor, now):
-        self._successor_since = self.ring.epoch
-        self._predecessor_beat = False
-        self._clear_at = None
-        self._others_to_hear = set(self.ring.member_ids) - {self.me.member_id}
+    def _reset_predecessor(self, predecessor, now):
+        self._successor_since_epoch = self.ring.epoch
+        self._is_predecessor_heard = False
+        self._removable_at = None
+        self._unheard_ids = set(self.ring.member_ids) - {self.me.member_id}
         if predecessor:
             self._predecessor_epoch = predecessor.joined_epoch
-            self._others_to_hear.discard(predecessor.member_id)
+            self._unheard_ids.discard(predecessor.member_id)
 
-    def _check_clear(self, now):
-        """Set when nobody else can be promising the predecessor any more."""
-        unheard = len(self._others_to_hear)
-        if self._predecessor_beat or (unheard and not self._is_chain_bounded()):
+    def _update_removable_at(self, now):
+        """Compute when no other member's lease to the predecessor can be valid."""
+        unheard = len(self._unheard_ids)
+        if self._is_predecessor_heard or (unheard and not self._is_chain_bounded()):
             return
-        leases = LEASES_UNTIL_CLEAR + unheard
-        clear_at = now + self._lease_s * leases * clock.CLOCK_RATE_MARGIN
-        if self._clear_at is None or clear_at < self._clear_at:
-            self._clear_at = clear_at
+        leases = LEASES_UNTIL_REMOVABLE + unheard
+        removable_at = now + self._lease_s * leases * clock.CLOCK_RATE_MARGIN
+        if self._removable_at is None or removable_at < self._removable_at:
+            self._removable_at = removable_at
 
     def _is_chain_bounded(self):
-        """Tell whether some member that moved on is in every ring that the
-        predecessor may still know."""
+        """Check whether some member that has advanced to the epoch is in every ring
+        that the predecessor may still have as its newest."""
         return any(
             member.joined_epoch <= self._predecessor_epoch
             for member in self.ring.members
-            if member.member_id not in self._others_to_hear
+            if member.member_id not in self._unheard_ids
             and member != record.find_predecessor(self.ring, self.me.member_id)
         )
 
     def take_beat(self, sender_id, beat, revision, now):
-        """Answer a beat.
+        """Acknowledge a heartbeat, with a lease if the sender is the predecessor.
 
         Args:
           sender_id: A str.
           beat: A Beat.
-          revision: An int, the settings in force here.
+          revision: An int, the revision of the settings in force here.
           now: A float.
         Returns:
           An Ack.
         """
         self.heard_at_by_id[sender_id] = now
-        if beat.epoch >= self._successor_since:
-            self._others_to_hear.discard(sender_id)
-            self._check_clear(now)
+        if beat.epoch >= self._successor_since_epoch:
+            self._unheard_ids.discard(sender_id)
+            self._update_removable_at(now)
         lease_ms = 0
         predecessor = record.find_predecessor(self.ring, self.me.member_id)
         is_predecessor = predecessor and predecessor.member_id == sender_id
         same_epoch = beat.epoch == self.ring.epoch != self._removing_epoch
-        if is_predecessor and same_epoch and self._has_voucher(now):
+        if is_predecessor and same_epoch and self._has_membership_proof(now):
             lease_ms = int(self._lease_s * clock.MS_PER_S)
         if is_predecessor:
             self._predecessor_epoch = max(self._predecessor_epoch, beat.epoch)
-        if is_predecessor and beat.epoch >= self._successor_since:
-            # It knows its successor is this member, so it takes no promise
-            # but ours from now on, and what it holds ends by then.
-            self._predecessor_beat = True
-            self._clear_at = now + self._lease_s * clock.CLOCK_RATE_MARGIN
+        if is_predecessor and beat.epoch >= self._successor_since_epoch:
+            # The predecessor knows this member as its successor and accepts no other
+            # member's lease from now on, so one that it holds expires by then.
+            self._is_predecessor_heard = True
+            self._removable_at = now + self._lease_s * clock.CLOCK_RATE_MARGIN
         return Ack(beat.token, self.ring.epoch, lease_ms, revision)
 
     def take_ack(self, sender_id, ack, now):
-        """Take the answer to a beat.
+        """Process an acknowledgement, and extend the lease if it grants one.
 
         Args:
           sender_id: A str.
@@ -251,13 +256,13 @@
         self._acked_token_by_id[sender_id] = max(known, ack.token)
         successor = record.find_successor(self.ring, self.me.member_id)
         if successor and successor.member_id == sender_id and ack.lease_ms:
-            # Counted from when the beat was sent, so that it ends here no
-            # later than at the successor, however long the answer took.
+            # The lease counts from when the heartbeat was sent, so that it expires
+            # here no later than at the successor, however long the answer took.
             until = clock.compute_deadline(ack.lease_ms, ack.token)
-            self._promised_until = max(self._promised_until, until)
+            self._lease_expires_at = max(self._lease_expires_at, until)
 
-    def _has_voucher(self, now):
-        """Tell whether this member was surely in the ring a lease ago."""
+    def _has_membership_proof(self, now):
+        """Check whether this member was certainly in the ring one lease ago."""
         oldest = now - self._lease_s
         if self.may_act(now) or self._read_at >= oldest:
             return True
@@ -266,7 +271,7 @@
         return self.is_member and all(token >= oldest for token in tokens)
 
     def is_removal_due(self, now):
-        """Tell whether the predecessor may be removed.
+        """Check whether the predecessor may be removed.
 
         Args:
           now: A float.
@@ -274,18 +279,18 @@
           A bool.
         """
         predecessor = record.find_predecessor(self.ring, self.me.member_id)
-        is_clear = self._clear_at is not None and now >= self._clear_at
-        return predecessor is not None and is_clear
+        is_removable = self._removable_at is not None and now >= self._removable_at
+        return predecessor is not None and is_removable
 
     def start_removal(self, now):
-        """Set out to remove the predecessor if it surely does not act.
+        """Start to remove the predecessor if it certainly does not act.
 
-        From here on the predecessor gets no promise in this epoch.
+        The predecessor gets no further lease in this epoch.
 
         Args:
           now: A float.
         Returns:
-          A record.Member to be removed from the ring of this epoch, or None.
+          A record.Member to remove from the ring of this epoch, or None.
         """
         if not self.is_removal_due(now):
             return None
--- a/thornport/membership/guard_test.py
+++ b/thornport/membership/guard_test.py
@@ -1,7 +1,7 @@
-"""Property: who may act is in the ring of the store, whatever happens.
+"""Property test: a member that may act is in the ring of the store.
 
-A small model drives real guards: messages are delayed, lost and repeated,
-members pause, are cut off from the store or from each other, and join.
+A small model drives real guards: messages are delayed, lost and repeated, and
+members pause, join, and are partitioned from the store or from each other.
 """
 
 import random
@@ -14,19 +14,19 @@
 
 LEASE_S = 1.0
 STEP_S = 0.1
-LIFE_MS = 10**9
+RETENTION_MS = 10**9
 FIRST_MEMBERS = 4
 
 
 class Model:
-    """Guards, the store's ring, and messages on their way."""
+    """Guards, the ring in the store, and messages in transit."""
 
     def __init__(self, choices):
         self.choices = choices
         self.now = 100.0
         self.in_store = record.NO_RING
         self.guards = {}
-        self.flying = []
+        self.in_transit = []
         self.paused_until = {}
         self.cut_until = {}
         self.store_cut_until = {}
@@ -41,16 +41,16 @@
         name = f"m{len(self.guards)}"
         hall = f"h{len(self.guards) % 2}"
         me = record.Member(f"{name}.1", name, name, name, hall)
-        self.in_store = record.add_member(self.in_store, me, 0, LIFE_MS)
+        self.in_store = record.add_member(self.in_store, me, 0, RETENTION_MS)
         made = guard.Guard(me, LEASE_S)
         made.take_ring(self.in_store, self.now, self.now)
         self.guards[me.member_id] = made
 
     def send(self, sender, target, message):
-        """Let a message fly for a while, be lost, or come twice."""
+        """Send a message, which may be delayed, lost or delivered twice."""
         for _ in range(self.choices.choice((0, 1, 1, 1, 1, 2))):
             delay = self.choices.choice((0.0, 0.0, 0.0, 0.1, 0.5, 3.0))
-            self.flying.append((self.now + delay, sender, target, message))
+            self.in_transit.append((self.now + delay, sender, target, message))
 
     def is_up(self, member_id):
         return self.paused_until.get(member_id, 0.0) <= self.now
@@ -61,10 +61,10 @@
 
     def deliver(self):
         due, later = [], []
-        for message in self.flying:
+        for message in self.in_transit:
             is_due = message[0] <= self.now and self.is_up(message[2])
             (due if is_due else later).append(message)
-        self.flying = later
+        self.in_transit = later
         for _, sender, target, message in due:
             if self.cut_until.get(frozenset((sender, target)), 0.0) > self.now:
                 continue
@@ -88,12 +88,12 @@
                     self.send(member_id, other, member.ring)
         if not self.reaches_store(member_id):
             return
-        # The removal is applied here, but the member is not told: its answer
-        # is lost, so a later read has to find out.
+        # The removal is applied, but its answer is lost: the member learns of it by a
+        # later read.
         target = member.start_removal(self.now)
         if target and member.ring.epoch == self.in_store.epoch:
             self.in_store = record.remove_member(
-                self.in_store, target.member_id, False, 0, LIFE_MS
+                self.in_store, target.member_id, False, 0, RETENTION_MS
             )
             self.removed += 1
 
@@ -125,24 +125,24 @@
             if self.is_up(member_id):
                 self.act(member_id)
         for member_id, member in self.guards.items():
-            # A member alone in the ring it knows has nobody to promise it
-            # anything; whoever joins it must first be answered by it.
+            # A member alone in the ring that it knows needs no lease; a member that
+            # joins needs this one's acknowledgement first.
             alone = len(member.ring.members) == 1
             if member.may_act(self.now) and not alone:
                 assert member_id in self.in_store.member_ids, member_id
 
 
 class Safety(unittest.TestCase):
-    """No member acts that the ring has gone on without."""
+    """A member that the ring has removed does not act."""
 
     @hypothesis.settings(max_examples=60, derandomize=True, deadline=None)
     @hypothesis.given(st.integers(0, 2**32))
-    def test_actor_is_in_ring(self, seed):
+    def test_member_that_may_act_is_in_ring(self, seed):
         model = Model(random.Random(seed))
         for _ in range(300):
             model.step()
 
-    def test_silent_member_is_removed_and_others_go_on(self):
+    def test_silent_member_is_removed_and_others_may_act(self):
         model = Model(random.Random(1))
         silent = model.in_store.member_ids[0]
         model.choices.random = lambda: 0.1
@@ -155,7 +155,7 @@
         others = [g for m, g in model.guards.items() if m != silent]
         self.assertTrue(all(g.may_act(model.now) for g in others))
 
-    def test_pair_cut_off_stops_before_its_place_is_given_away(self):
+    def test_partitioned_pair_stops_before_it_is_removed(self):
         model = Model(random.Random(2))
         model.disturb = lambda: None
         first, second, *others = model.in_store.member_ids
--- a/thornport/membership/node.py
+++ b/thornport/membership/node.py
@@ -1,7 +1,7 @@
-"""A process as a member of a ring: joins, beats, removes, leaves.
+"""A process as a member of a ring: joins, sends heartbeats, removes others, leaves.
 
-This is the edge: it moves messages and time between the pure guard, the bus
-and the store. What depends on membership is told through the callbacks.
+This module does the I/O: it passes messages and time between the guard, the bus and
+the store, and notifies the rest of the process by callbacks.
 """
 
 import time
@@ -15,23 +15,27 @@
 from thornport.settings import editing, tree
 from thornport.store import port
 
-WATCHERS = 2
+WATCHER_COUNT = 2
 WATCH_WAIT_S = 30.0
-BACKSTOP_READ_S = 30.0
-RETRY_STORE_S = 0.5
-REMEMBER_MS = int(once_messages.MAX_KEY_LIFE_S * clock.MS_PER_S)
+FALLBACK_READ_S = 30.0
+STORE_RETRY_S = 0.5
+RETENTION_MS = int(once_messages.MAX_KEY_LIFE_S * clock.MS_PER_S)
 
 
 class Node:
     """The membership of one process.
 
     Attributes:
-      guard: The guard.Guard of the present life.
+      guard: The guard.Guard of the current incarnation; None before `start`.
       in_force: An inforce.InForce.
+      on_ring: A callable of a record.Ring and a time, called for each newer ring that
+        has not removed this member.
+      on_settings: A callable, called when newer settings are in force.
+      on_new_incarnation: A callable of the member id, called for each incarnation.
     """
 
     def __init__(self, reactor, settings, store, bus, in_force, ring_name):
-        """Take what it works with; nothing is started yet.
+        """Create a node that has not started.
 
         Args:
           reactor: Twisted's reactor.
@@ -39,7 +43,7 @@
           store: A store client.
           bus: A bus.Bus, bound.
           in_force: An inforce.InForce.
-          ring_name: A str, which ring of the region.
+          ring_name: A str, the name of the ring within the region.
         """
         self._reactor = reactor
         self._settings = settings
@@ -66,23 +70,23 @@
         return self.guard.ring
 
     def may_act(self, now):
-        """Tell whether this process surely is in the ring still."""
+        """Check whether this process is certainly still in the ring."""
         return self.guard.may_act(now)
 
     def start(self, http):
-        """Start the first life, and join.
+        """Start the first incarnation, heartbeats and watches.
 
         Args:
-          http: A str, the address of this process' HTTP interface.
+          http: A str, `IP:PORT` of this process's HTTP interface.
         """
         self._http = http
-        self._start_life(record.NO_RING)
+        self._start_incarnation(record.NO_RING)
         beat_s = self._settings.peers.beat_s
         tasks.call_periodically(self._reactor, beat_s, self._beat, "beat")
         tasks.spawn(self._watch(editing.HEAD_KEY, self._take_settings), "watch")
         tasks.spawn(self._watch(self._ring_key, self._take_ring_data), "watch")
 
-    def _start_life(self, ring):
+    def _start_incarnation(self, ring):
         process = self._settings.process
         member_id = f"{process.name}.{ids.make_incarnation()}"
         me = record.Member(
@@ -102,7 +106,7 @@
         logs.log("ring", epoch=ring.epoch, members=len(ring.members))
         if self.guard.was_removed() and not self._is_leaving:
             logs.log("removed-from-ring", member=self.guard.me.member_id)
-            self._start_life(ring)
+            self._start_incarnation(ring)
             return
         self._bus.close_others({member.address for member in ring.members})
         self.on_ring(ring, now)
@@ -122,13 +126,13 @@
             logs.log("settings-unreadable", reason=str(error))
 
     def _is_watcher(self):
-        """Tell whether this process watches the store for the others."""
+        """Check whether this process watches the store for the other members."""
         ranked = ids.rank_by_rendezvous("watchers", self.ring.member_ids)
         me = self.guard.me.member_id
-        return not self.guard.is_member or me in ranked[:WATCHERS]
+        return not self.guard.is_member or me in ranked[:WATCHER_COUNT]
 
     async def _watch(self, key, take):
-        """Read a key for ever: by watches, or slowly if others watch it."""
+        """Read a key forever: by watches, or infrequently if other members watch it."""
         index = port.ABSENT_INDEX - 1
         while True:
             wait_s = WATCH_WAIT_S if index >= 0 else 0.0
@@ -136,21 +140,21 @@
             read = await self._store.watch(key, index, wait_s)
             if isinstance(read, result.Failure):
                 logs.log("store-unavailable", reason=read.failure().reason)
-                await tasks.sleep(self._reactor, RETRY_STORE_S)
+                await tasks.sleep(self._reactor, STORE_RETRY_S)
                 continue
             item = read.unwrap()
             changed = item.index != index
             index = item.index
-            # A watch may have waited long, so it vouches only as of its start.
+            # A watch may block for long, so the value counts as read at its start.
             take(item.value, read_at)
             if not changed and not self._is_watcher():
-                await tasks.sleep(self._reactor, BACKSTOP_READ_S)
+                await tasks.sleep(self._reactor, FALLBACK_READ_S)
 
     def list_peers(self):
-        """List the addresses to beat to: members, else seeds.
+        """List the addresses for heartbeats: members, and seeds while not a member.
 
         Returns:
-          A dict from address to member id, empty where it is not known.
+          A dict from address to member id, which is empty where unknown.
         """
         me = self._bus.address
         peers = {m.address: m.member_id for m in self.ring.members if m.address != me}
@@ -161,7 +165,7 @@
         return peers
 
     def take_vms(self, vms):
-        """Take the VMs that the platform lists.
+        """Record which VMs the platform lists, and since when others are missing.
 
         Args:
           vms: A set of str.
@@ -174,20 +178,20 @@
             else:
                 self._missing_since_by_vm.setdefault(member.vm, now)
 
-    def _list_gone(self, now):
-        """List the members whose VMs the platform has surely taken away.
+    def _list_members_without_vm(self, now):
+        """List the members whose VMs the platform has certainly removed.
 
-        Where a whole ring was replaced at once there is no successor left to
-        remove its members, so the list of VMs is believed, late as it is. It
-        says nothing of entries unless this process' own VM is on it.
+        If a whole ring is replaced at once, no successor is left to remove its
+        members, so they are removed by the platform's list of VMs, although it lags.
+        The list is not used unless this process's own VM is on it.
         """
         if self._settings.process.vm not in self._vms:
             return []
-        patience_s = self._settings.peers.vm_gone_s
+        gone_after_s = self._settings.peers.vm_gone_s
         return [
             member.member_id
             for member in self.ring.members
-            if now >= self._missing_since_by_vm.get(member.vm, now) + patience_s
+            if now >= self._missing_since_by_vm.get(member.vm, now) + gone_after_s
         ]
 
     def _beat(self):
@@ -196,13 +200,13 @@
         for address, member_id in self.list_peers().items():
             self._bus.send(address, member_id, beat)
         if not self.guard.is_member and not self._is_leaving:
-            self._join_soon()
-        elif gone := self._list_gone(now):
-            self._drop_soon(gone)
+            self._start_join()
+        elif gone := self._list_members_without_vm(now):
+            self._start_removal_without_vm(gone)
         elif not self.guard.may_act(now) or self.guard.is_removal_due(now):
-            self._review_soon()
+            self._start_review()
 
-    def _join_soon(self):
+    def _start_join(self):
         if self._joining is None or self._joining.called:
             self._joining = tasks.spawn(self._join(), "join")
 
@@ -212,19 +216,19 @@
         def add(ring):
             if me.member_id in ring.member_ids:
                 return None
-            return record.add_member(ring, me, read_wall_ms(), REMEMBER_MS)
+            return record.add_member(ring, me, read_wall_ms(), RETENTION_MS)
 
         read_at = clock.read_monotonic()
         joined = await record.update_ring(self._store, self._ring_key, add)
         if isinstance(joined, result.Success):
             self._take_ring(joined.unwrap(), read_at)
 
-    def _review_soon(self):
+    def _start_review(self):
         if self._removing is None or self._removing.called:
             self._removing = tasks.spawn(self._review(), "review-ring")
 
     async def _review(self):
-        """Read the ring, which vouches for this member, and remove a silent
+        """Read the ring, which proves this member's membership, and remove a silent
         predecessor if that is due."""
         read_at = clock.read_monotonic()
         read = await self._store.get(self._ring_key)
@@ -241,26 +245,28 @@
             if ring.epoch != epoch:
                 return None
             return record.remove_member(
-                ring, silent.member_id, False, read_wall_ms(), REMEMBER_MS
+                ring, silent.member_id, False, read_wall_ms(), RETENTION_MS
             )
 
         changed = await record.update_ring(self._store, self._ring_key, remove)
         if isinstance(changed, result.Success):
             self._take_ring(changed.unwrap())
 
-    def _drop_soon(self, member_ids):
+    def _start_removal_without_vm(self, member_ids):
         if self._removing is None or self._removing.called:
-            self._removing = tasks.spawn(self._drop(member_ids), "drop-gone")
+            self._removing = tasks.spawn(
+                self._remove_without_vm(member_ids), "drop-gone"
+            )
 
-    async def _drop(self, member_ids):
-        """Remove members whose VMs are gone."""
+    async def _remove_without_vm(self, member_ids):
+        """Remove members whose VMs the platform has removed."""
         logs.log("remove-gone", members=len(member_ids))
 
         def remove(ring):
             for member_id in member_ids:
                 if member_id in ring.member_ids:
                     ring = record.remove_member(
-                        ring, member_id, False, read_wall_ms(), REMEMBER_MS
+                        ring, member_id, False, read_wall_ms(), RETENTION_MS
                     )
             return ring
 
@@ -269,10 +275,10 @@
             self._take_ring(changed.unwrap())
 
     async def leave(self):
-        """Leave the ring; what is held is then asked for by the others.
+        """Leave the ring; the other members then ask for what this one holds.
 
         Returns:
-          A bool, whether the store has taken it.
+          A bool, whether the store has confirmed it.
         """
         self._is_leaving = True
         member_id = self.guard.me.member_id
@@ -281,7 +287,7 @@
             if member_id not in ring.member_ids:
                 return None
             return record.remove_member(
-                ring, member_id, True, read_wall_ms(), REMEMBER_MS
+                ring, member_id, True, read_wall_ms(), RETENTION_MS
             )
 
         left = await record.update_ring(self._store, self._ring_key, remove)
@@ -291,16 +297,16 @@
         return True
 
     async def announce_gone(self):
-        """Tell that everything was handed over and no answer will come."""
+        """Record in the ring that this member holds nothing and won't answer."""
         member_id = self.guard.me.member_id
 
         def mark(ring):
-            return record.mark_gone(ring, member_id, read_wall_ms(), REMEMBER_MS)
+            return record.mark_gone(ring, member_id, read_wall_ms(), RETENTION_MS)
 
         await record.update_ring(self._store, self._ring_key, mark)
 
     def take_beat(self, sender_id, address, beat):
-        """Answer a beat, and ask for what the sender has newer."""
+        """Acknowledge a heartbeat, and request what the sender has newer."""
         revision = self.in_force.revision
         now = clock.read_monotonic()
         ack = self.guard.take_beat(sender_id, beat, revision, now)
@@ -308,18 +314,18 @@
         self._ask_for_newer(sender_id, address, beat)
 
     def take_ack(self, sender_id, address, ack):
-        """Take the answer to a beat, and ask for what the sender has newer."""
+        """Process an acknowledgement, and request what the sender has newer."""
         self.guard.take_ack(sender_id, ack, clock.read_monotonic())
         self._ask_for_newer(sender_id, address, ack)
 
-    def _ask_for_newer(self, sender_id, address, said):
-        if said.epoch > self.ring.epoch:
+    def _ask_for_newer(self, sender_id, address, received):
+        if received.epoch > self.ring.epoch:
             self._bus.send(address, sender_id, relay.Want(relay.Topic.RING))
-        if said.revision > self.in_force.revision:
+        if received.revision > self.in_force.revision:
             self._bus.send(address, sender_id, relay.Want(relay.Topic.SETTINGS))
 
     def take_want(self, sender_id, address, want):
-        """Hand over the newest of a topic."""
+        """Send the newest data of the requested topic."""
         if want.topic is relay.Topic.RING:
             data = record.encode_ring(self.ring)
         else:
@@ -328,14 +334,14 @@
             self._bus.send(address, sender_id, relay.Have(want.topic, data))
 
     def take_have(self, have):
-        """Take what another process has newer."""
+        """Adopt the newer ring or settings that another process sent."""
         if have.topic is relay.Topic.RING:
             self._take_ring_data(have.data)
         else:
             self._take_settings(have.data)
 
     def send(self, member_id, message):
-        """Send a message to a member, or to one that has left lately.
+        """Send a message to a member, or to one that left recently.
 
         Args:
           member_id: A str.
@@ -346,10 +352,10 @@
             self._bus.send(address, member_id, message)
 
     def find_address(self, member_id):
-        """Find the address of a member or of one that has left.
+        """Find the address of a member, or of one in a past ring.
 
         Returns:
-          A str, empty if it is not known.
+          A str, empty if unknown.
         """
         member = record.find_member(self.ring, member_id)
         if member is None:
@@ -358,7 +364,7 @@
         return member.address if member else ""
 
     def describe(self):
-        """Describe the membership for operators."""
+        """Describe the membership for operators, as a dict."""
         now = clock.read_monotonic()
         return {
             "member": self.guard.me.member_id,
@@ -369,7 +375,7 @@
 
 
 def read_wall_ms():
-    """Read the wall clock, used only to forget what is long past.
+    """Read the wall clock, used only to expire past rings and lost members.
 
     Returns:
       An int, milliseconds.
--- a/thornport/membership/record.py
+++ b/thornport/membership/record.py
@@ -1,8 +1,8 @@
-"""The record of a ring, kept as one value in the platform's store.
+"""The record of a ring, persisted as one value in the platform's store.
 
-The record changes only by compare-and-swap, and its epoch rises by one with
-each change. It remembers, for as long as callers' keys live, which rings came
-before and which members were lost without handing over what they held.
+The record changes only by compare-and-swap, and each change increments its epoch.
+For as long as callers' idempotency keys are remembered, it lists the earlier rings
+and the members that were lost without a handover.
 """
 
 import msgspec
@@ -14,20 +14,21 @@
 RING_KEY_PREFIX = "thornport/ring/"
 MAX_CAS_TRIES = 8
 
-# What a member lent out, or may have running, has ended this long after it
-# left; so long is it asked for what it holds.
-LEAVER_MEMORY_MS = 60_000
+# Whatever a member lent out, or may have running, has ended this long after it left.
+# Until then it is asked for what it holds.
+LEAVER_RETENTION_MS = 60_000
 
 
 class Member(msgspec.Struct, frozen=True):
-    """One life of one process.
+    """One incarnation of one process.
 
     Attributes:
       member_id: A str, the name of the process and its incarnation.
-      address: A str, `IP:PORT` where its peers reach it.
+      address: A str, `IP:PORT` for its peers.
       http: A str, `IP:PORT` of its HTTP interface.
       vm, hall: A str each.
-      joined_epoch: An int, the first ring it is in; it knows at least that.
+      joined_epoch: An int, the epoch of the first ring with this member; it knows
+        that ring or a newer one.
     """
 
     member_id: str
@@ -39,12 +40,12 @@
 
 
 class PastRing(msgspec.Struct, frozen=True):
-    """A ring that is no more.
+    """A ring that a newer one has replaced.
 
     Attributes:
       epoch: An int.
       members: A tuple of Member.
-      ended_ms: An int, wall-clock milliseconds.
+      ended_ms: An int, when it was replaced, in wall-clock milliseconds.
     """
 
     epoch: int
@@ -53,22 +54,22 @@
 
 
 class Lost(msgspec.Struct, frozen=True):
-    """A member that went without handing over."""
+    """A member that was removed without a handover."""
 
     member_id: str
     at_ms: int
 
 
 class Ring(msgspec.Struct, frozen=True):
-    """The members in force.
+    """The current members and those of earlier rings.
 
     Attributes:
-      epoch: An int, 0 for the ring that nobody has founded.
-      members: A tuple of Member in the order of the ring.
+      epoch: An int, 0 for the ring that does not exist yet.
+      members: A tuple of Member in ring order.
       past: A tuple of PastRing, the oldest first.
       lost: A tuple of Lost.
-      gone: A tuple of str, ids of members that left, have handed over all
-        that they held, and answer no more.
+      gone: A tuple of str, ids of members that left, have handed over all that they
+        held, and no longer answer.
     """
 
     epoch: int = 0
@@ -84,7 +85,7 @@
 
 
 class RingError(Exception):
-    """Bytes from the store or a peer are not a ring."""
+    """Raised for bytes from the store or a peer that do not encode a ring."""
 
 
 NO_RING = Ring()
@@ -100,11 +101,11 @@
     """Decode a ring.
 
     Args:
-      data: Bytes; none for no ring.
+      data: Bytes; empty for no ring.
     Returns:
       A Ring.
     Raises:
-      RingError: The bytes are not a ring.
+      RingError: The bytes do not encode a ring.
     """
     if not data:
         return NO_RING
@@ -127,7 +128,7 @@
 
 
 def find_successor(ring, member_id):
-    """Find who follows a member in the ring.
+    """Find the member that follows another in the ring.
 
     Args:
       ring: A Ring.
@@ -139,7 +140,7 @@
 
 
 def find_predecessor(ring, member_id):
-    """Find who comes before a member in the ring.
+    """Find the member that precedes another in the ring.
 
     Args:
       ring: A Ring.
@@ -158,14 +159,14 @@
 
 
 def pick_holders(members, key, count):
-    """Pick the members that hold something, in different halls if there are.
+    """Pick the members that hold a key, in different halls where possible.
 
     Args:
       members: A tuple of Member.
       key: A str.
       count: An int.
     Returns:
-      A list of Member, at most `count`, the first choice first.
+      A list of Member, at most `count`, in order of preference.
     """
     by_id = {member.member_id: member for member in members}
     ranked = [by_id[member_id] for member_id in ids.rank_by_rendezvous(key, by_id)]
@@ -180,7 +181,7 @@
 
 
 def list_leavers(ring):
-    """List the members that left lately and may still be asked what they hold.
+    """List the members that left recently and may still hold something.
 
     Args:
       ring: A Ring.
@@ -189,7 +190,7 @@
     """
     if not ring.past:
         return set()
-    oldest_ms = ring.past[-1].ended_ms - LEAVER_MEMORY_MS
+    oldest_ms = ring.past[-1].ended_ms - LEAVER_RETENTION_MS
     before = {
         member.member_id
         for past in ring.past
@@ -200,88 +201,89 @@
     return before - lost - set(ring.gone) - set(ring.member_ids)
 
 
-def mark_gone(ring, member_id, now_ms, life_ms):
-    """Make the ring that knows that a leaver holds nothing any more.
+def mark_gone(ring, member_id, now_ms, retention_ms):
+    """Create the next ring, with a leaver recorded as holding nothing any more.
 
     Args:
       ring: A Ring.
       member_id: A str.
-      now_ms, life_ms: As in add_member.
+      now_ms, retention_ms: As in add_member.
     Returns:
       A Ring of the next epoch.
     """
-    advanced = advance(ring, ring.members, [], now_ms, life_ms)
+    advanced = advance(ring, ring.members, [], now_ms, retention_ms)
     return msgspec.structs.replace(advanced, gone=(*advanced.gone, member_id))
 
 
-def add_member(ring, member, now_ms, life_ms):
-    """Make the ring that a member has joined.
+def add_member(ring, member, now_ms, retention_ms):
+    """Create the next ring, with one more member.
 
-    A member at the same address is taken out: the address is bound by the
-    newcomer, so the process that had it has ended.
+    A member with the same address is removed as lost: the new member has bound the
+    address, so the process that used it before has ended.
 
     Args:
       ring: A Ring.
       member: A Member.
       now_ms: An int, wall-clock milliseconds.
-      life_ms: An int, how long the past is remembered.
+      retention_ms: An int, how long past rings and lost members are retained.
     Returns:
       A Ring of the next epoch.
     """
     replaced = [m.member_id for m in ring.members if m.address == member.address]
-    kept = [m for m in ring.members if m.address != member.address]
-    # Ring order goes by hash, so that neighbours are seldom of one hall.
+    retained = [m for m in ring.members if m.address != member.address]
+    # The ring is ordered by hash, so that neighbours are rarely in the same hall.
     joined = msgspec.structs.replace(member, joined_epoch=ring.epoch + 1)
-    by_id = {m.member_id: m for m in [*kept, joined]}
+    by_id = {m.member_id: m for m in [*retained, joined]}
     members = tuple(by_id[m] for m in ids.rank_by_rendezvous("ring-order", by_id))
-    return advance(ring, members, replaced, now_ms, life_ms)
+    return advance(ring, members, replaced, now_ms, retention_ms)
 
 
-def remove_member(ring, member_id, handed_over, now_ms, life_ms):
-    """Make the ring that a member has left.
+def remove_member(ring, member_id, handed_over, now_ms, retention_ms):
+    """Create the next ring, without one member.
 
     Args:
       ring: A Ring.
       member_id: A str.
-      handed_over: A bool, whether others hold all that it held.
-      now_ms, life_ms: As in add_member.
+      handed_over: A bool, whether others hold all that it held; if not, it is
+        recorded as lost.
+      now_ms, retention_ms: As in add_member.
     Returns:
       A Ring of the next epoch.
     """
     members = tuple(m for m in ring.members if m.member_id != member_id)
     lost = [] if handed_over else [member_id]
-    return advance(ring, members, lost, now_ms, life_ms)
+    return advance(ring, members, lost, now_ms, retention_ms)
 
 
-def advance(ring, members, lost_ids, now_ms, life_ms):
-    """Make the ring of the next epoch, forgetting what is too old.
+def advance(ring, members, lost_ids, now_ms, retention_ms):
+    """Create the ring of the next epoch, without entries past the retention time.
 
     Args:
       ring: A Ring.
       members: A tuple of Member.
-      lost_ids: A list of str, members that went without handing over.
-      now_ms, life_ms: As in add_member.
+      lost_ids: A list of str, ids of members removed without a handover.
+      now_ms, retention_ms: As in add_member.
     Returns:
       A Ring.
     """
-    oldest_ms = now_ms - life_ms
+    oldest_ms = now_ms - retention_ms
     past = [*ring.past]
     if ring.members:
         past.append(PastRing(ring.epoch, ring.members, now_ms))
     lost = [*ring.lost, *(Lost(member_id, now_ms) for member_id in lost_ids)]
-    kept = tuple(p for p in past if p.ended_ms >= oldest_ms)
-    known = {member.member_id for p in kept for member in p.members}
+    retained = tuple(p for p in past if p.ended_ms >= oldest_ms)
+    known = {member.member_id for p in retained for member in p.members}
     return Ring(
         ring.epoch + 1,
         members,
-        kept,
+        retained,
         tuple(entry for entry in lost if entry.at_ms >= oldest_ms),
         tuple(member_id for member_id in ring.gone if member_id in known),
     )
 
 
 async def update_ring(store, key, change):
-    """Change the ring in the store.
+    """Change the ring in the store by compare-and-swap.
 
     Args:
       store: A store client.
@@ -305,4 +307,6 @@
             return result.Success(changed)
         if not port.is_failure(written, port.Conflict):
             return written
-    return result.Failure(port.Conflict("others kept changing the ring"))
+    return result.Failure(
+        port.Conflict("the ring in the store kept changing between read and write")
+    )
--- a/thornport/membership/relay.py
+++ b/thornport/membership/relay.py
@@ -1,8 +1,8 @@
-"""Passing on what one process has read from the store to those that have not.
+"""Messages by which processes pass on the ring and the settings to each other.
 
-Beats tell which ring and which settings a process has; one that hears of
-newer ones asks for them. So only a few processes watch the store, and a
-process that cannot reach it, or starts in its outage, still gets the newest.
+Heartbeats state which ring and which settings a process has; a process that
+learns of newer ones requests them. So only a few processes watch the store, and a
+process that cannot reach it, or starts during an outage, still gets the newest.
 """
 
 import enum
@@ -11,20 +11,20 @@
 
 
 class Topic(enum.Enum):
-    """What is passed on."""
+    """A kind of data that is passed on."""
 
     RING = "ring"
     SETTINGS = "settings"
 
 
 class Want(codec.Message):
-    """Asks for the newest of a topic."""
+    """Requests the newest data of a topic."""
 
     topic: Topic
 
 
 class Have(codec.Message):
-    """The newest of a topic, encoded as in the store."""
+    """The newest data of a topic, encoded as in the store."""
 
     topic: Topic
     data: bytes
--- a/thornport/membership/settling.py
+++ b/thornport/membership/settling.py
@@ -1,30 +1,30 @@
-"""Asking every other member, and late leavers, after each change of a ring.
+"""Tracks which members have yet to report what they hold after a ring change.
 
-Whoever takes over something asks all who may have held it. A member in the
-ring is awaited until it answers or is removed; one that has left is awaited
-for a while, and counts as lost if it stays silent.
+A member that takes something over asks all members that may have held it. A member
+in the ring is asked until it answers or is removed; one that left recently is asked
+for a limited time, and counts as lost if it does not answer.
 """
 
 from thornport.membership import record
 
-LEAVER_PATIENCE_S = 5.0
+LEAVER_ANSWER_TIMEOUT_S = 5.0
 
 
 class Settling:
-    """Whose word is still awaited in the newest ring.
+    """The members whose answers are outstanding in the newest ring.
 
     Attributes:
-      ring: A record.Ring.
-      silent_leavers: A set of member ids that left and never answered.
+      ring: A record.Ring, the newest known.
+      silent_leavers: A set of ids of members that left and did not answer in time.
     """
 
     __slots__ = ("_asked_until_by_id", "_me", "ring", "silent_leavers")
 
     def __init__(self, me):
-        """Start without a ring.
+        """Create the state without a ring.
 
         Args:
-          me: A str, the member id.
+          me: A str, the id of this member.
         """
         self._me = me
         self._asked_until_by_id = {}
@@ -33,11 +33,11 @@
 
     @property
     def is_settled(self):
-        """Whether there is a ring and nobody's word is awaited in it."""
+        """Whether there is a ring and no answer is outstanding in it."""
         return bool(self.ring.epoch) and not self._asked_until_by_id
 
     def take_ring(self, ring, now):
-        """Start asking in a new ring.
+        """Adopt a new ring, and await the answers of its members and recent leavers.
 
         Args:
           ring: A record.Ring of a higher epoch.
@@ -46,25 +46,25 @@
         self.ring = ring
         asked = dict.fromkeys(ring.member_ids)
         leavers = record.list_leavers(ring) - self.silent_leavers
-        asked |= dict.fromkeys(sorted(leavers), now + LEAVER_PATIENCE_S)
+        asked |= dict.fromkeys(sorted(leavers), now + LEAVER_ANSWER_TIMEOUT_S)
         asked.pop(self._me, None)
         self._asked_until_by_id = asked
 
     def is_awaited(self, member_id):
-        """Tell whether a member's word is awaited."""
+        """Check whether a member's answer is outstanding."""
         return member_id in self._asked_until_by_id
 
     def mark_answered(self, member_id):
-        """Note that a member has said all that it had to say."""
+        """Record that a member has reported everything that it holds."""
         self._asked_until_by_id.pop(member_id, None)
 
     def list_to_ask(self, now):
-        """List the members to ask, giving up on leavers that stay silent.
+        """List the members to ask, and give up on leavers past their time limit.
 
         Args:
           now: A float.
         Returns:
-          A pair of a list of member ids, and a list of those given up now.
+          A pair of lists of member ids: those to ask, and those given up in this call.
         """
         given_up = [
             member_id
