--- a/thornport/peers/bus.py
+++ b/thornport/peers/bus.py
@@ -1,10 +1,10 @@
-"""The bus: typed messages between processes by pyzmq, one way each.
+"""Typed one-way messages between processes over ZeroMQ.
 
-Every process binds one PULL socket and connects one PUSH socket to each peer
-it talks to. zmq hides lost connections, so its silence proves nothing: lease
-and heartbeat are the slices' own. Its own heartbeats replace connections alone.
-Queues are bounded, and what does not fit is dropped and counted; every message
-of ours is one that may be lost.
+Each process binds one PULL socket and connects one PUSH socket to each peer that it
+sends to. ZeroMQ hides lost connections, so its state does not show whether a peer is
+alive: the callers of the bus have leases and heartbeats of their own, and ZeroMQ's
+heartbeats only replace broken connections. Queues are bounded; a message that does
+not fit is dropped and counted. Every message may be lost.
 """
 
 import zmq
@@ -15,26 +15,27 @@
 
 HIGH_WATER_MARK = 2000
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
-MAX_RECEIVED_AT_ONCE = 200
-# A connection that falls silent without a reset is replaced within a second: each is
-# asked for a sign of life this often, and has as long to answer. A quarter of a second
-# would cost the owner of a large cell hundreds of wake-ups a second.
+MAX_MESSAGES_PER_READ = 200
+# The interval of ZeroMQ heartbeats, and their timeout: a connection that falls silent
+# without a reset is replaced within a second. A quarter of a second would cost the
+# owner of a large cell hundreds of wake-ups a second.
 HEARTBEAT_MS = 500
-# A receiver counts whole messages as signs of life alone: the largest value of the
-# store, 1.4 MB, takes 6 s over the slowest link. Whoever sends notices silence sooner.
-RECEIVER_PATIENCE_MS = 10_000
+# The receiver's timeout is longer because only whole messages restart it: the largest
+# value of the store, 1.4 MB, takes 6 s over the slowest link. The sender detects a
+# silent connection sooner.
+RECEIVER_TIMEOUT_MS = 10_000
 RECONNECT_MS = 50
 RECONNECT_MAX_MS = 1000
 
 
 class Frame(codec.Message):
-    """What goes around a message.
+    """The envelope of a message.
 
     Attributes:
-      sender: A str, the member id of the sender's life.
-      address: A str, `IP:PORT` to answer to.
-      target: A str, the member id it is meant for; empty for whoever is
-        there. A message for an earlier life is dropped.
+      sender: A str, the member id of the sender's incarnation.
+      address: A str, `IP:PORT` for answers.
+      target: A str, the member id of the receiver; empty for any process
+        at the address. A message for an earlier incarnation is dropped.
       body: Bytes, the encoded message.
     """
 
@@ -49,17 +50,17 @@
     """The sockets of one process.
 
     Attributes:
-      address: A str, `IP:PORT` that peers are told.
-      bound_address: A str, `IP:PORT` that is bound here.
-      member_id: A str, the life that messages are for.
+      address: A str, `IP:PORT` advertised to peers.
+      bound_address: A str, `IP:PORT` that the receiving socket is bound to.
+      member_id: A str, the member id of the current incarnation.
     """
 
     def __init__(self, reactor, message_codec, metrics):
-        """Make the sockets; nothing is bound yet.
+        """Create the sockets, unbound.
 
         Args:
           reactor: Twisted's reactor.
-          message_codec: A codec.Codec of the messages that may arrive.
+          message_codec: A codec.Codec of the messages sent and received.
           metrics: A metrics.Metrics.
         """
         self._reactor = reactor
@@ -68,7 +69,7 @@
         self._metrics = metrics
         self._context = zmq.Context()
         self._push_by_address = {}
-        self._take = None
+        self._deliver = None
         self._pull = self._context.socket(zmq.PULL)
         self._pull.set(zmq.RCVHWM, HIGH_WATER_MARK)
         self._pull.set(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
@@ -84,9 +85,9 @@
         Args:
           ip: A str.
           port: An int; 0 lets the kernel choose.
-          told: A str, `IP:PORT` that peers are told; empty for the one bound.
+          advertised: A str, `IP:PORT` to advertise to peers; empty for the bound one.
         Returns:
-          A str, the address that peers are told.
+          A str, the address advertised to peers.
         """
         bound = self._pull.bind(f"tcp://{ip}:{port or '*'}")
         endpoint = self._pull.get(zmq.LAST_ENDPOINT) if bound is not None else b""
@@ -94,47 +95,48 @@
         self.address = advertised or self.bound_address
         return self.address
 
-    def start(self, member_id, take):
+    def start(self, member_id, deliver):
         """Start receiving.
 
         Args:
-          member_id: A str, of this life of the process.
-          take: A callable of sender id, sender address and message.
+          member_id: A str, the member id of this incarnation.
+          deliver: A callable of sender id, sender address and message, called for each
+            message received.
         """
         self.member_id = member_id
-        self._take = take
+        self._deliver = deliver
         self._reactor.addReader(self)
         self._reactor.callLater(0, self.doRead)
 
     def set_member_id(self, member_id):
-        """Go on as another life.
+        """Continue as another incarnation.
 
         Args:
-          member_id: A str.
+          member_id: A str, its member id.
         """
         self.member_id = member_id
 
     def send(self, address, target, message):
-        """Send a message; it may be lost.
+        """Send a message, which may be lost.
 
         Args:
           address: A str, `IP:PORT`.
           target: A str, a member id, or empty.
           message: A struct.
         Returns:
-          A bool, false when it is lost already: there is no connection yet, or the
-          queue is full.
+          A bool, false if the message was dropped because there is no connection
+          yet or the queue is full.
         """
         if address == self.address:
-            self._reactor.callLater(0, self._take, self.member_id, address, message)
+            self._reactor.callLater(0, self._deliver, self.member_id, address, message)
             return True
         return self._send_frame(address, self._encode(target, message))
 
     def send_to_all(self, addresses, message):
-        """Send a message to whoever is there at some addresses, encoded once.
+        """Encode a message once and send it to every process at some addresses.
 
         Args:
-          addresses: An iterable of str, without the own one.
+          addresses: An iterable of str, without this process's own.
           message: A struct.
         """
         data = self._encode("", message)
@@ -147,9 +149,9 @@
         return self._frames.encode(frame)
 
     def _send_frame(self, address, data):
-        """Send an encoded frame; a bool, whether it is not lost already."""
+        """Send an encoded frame, and return whether it was queued."""
         try:
-            self._find_push(address).send(data, zmq.NOBLOCK)
+            self._get_push(address).send(data, zmq.NOBLOCK)
         except zmq.Again:
             self._metrics.count("peers.dropped")
             return False
@@ -157,34 +159,34 @@
         self._metrics.count("peers.sent_bytes", len(data))
         return True
 
-    def _find_push(self, address):
+    def _get_push(self, address):
         push = self._push_by_address.get(address)
         if push is None:
             push = self._context.socket(zmq.PUSH)
             push.set(zmq.SNDHWM, HIGH_WATER_MARK)
             push.set(zmq.LINGER, 0)
-            # Without this, a peer that is not there is queued for, and gets
-            # a flood of old messages when it comes.
+            # Without IMMEDIATE, messages to an absent peer are queued, and it receives
+            # a flood of old messages when it connects.
             push.set(zmq.IMMEDIATE, 1)
             push.set(zmq.RECONNECT_IVL, RECONNECT_MS)
             push.set(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
             push.set(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
             push.set(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_MS)
-            push.set(zmq.HEARTBEAT_TTL, RECEIVER_PATIENCE_MS)
+            push.set(zmq.HEARTBEAT_TTL, RECEIVER_TIMEOUT_MS)
             push.connect(f"tcp://{address}")
             self._push_by_address[address] = push
         return push
 
     def close_others(self, addresses):
-        """Close the connections to all but some addresses.
+        """Close the connections to all other addresses.
 
         Args:
-          addresses: A set of str to keep.
+          addresses: A set of str, the addresses whose connections stay open.
         """
         for address in set(self._push_by_address) - addresses:
             self._push_by_address.pop(address).close()
 
-    def _read_soon(self):
+    def _schedule_read(self):
         if not self._is_reading:
             self._is_reading = True
             self._reactor.callLater(0, self._read_now)
@@ -194,25 +196,25 @@
         self.doRead()
 
     def fileno(self):
-        """The descriptor that tells of events; asked for by the reactor."""
+        """Return the descriptor on which the reactor waits for ZeroMQ events."""
         return self._pull.get(zmq.FD)
 
     def logPrefix(self):
-        """A name for the reactor's log."""
+        """Return the name in the reactor's log."""
         return "bus"
 
     def connectionLost(self, reason):
-        """Nothing to do: zmq keeps its own connections."""
+        """Do nothing, since ZeroMQ manages its own connections."""
 
     def doRead(self):
-        """Take what has arrived, a bounded number of messages at once."""
-        for _ in range(MAX_RECEIVED_AT_ONCE):
+        """Receive a bounded number of messages, and schedule a read for the rest."""
+        for _ in range(MAX_MESSAGES_PER_READ):
             try:
                 data = self._pull.recv(zmq.NOBLOCK)
             except zmq.Again:
                 return
             self._receive(data)
-        self._read_soon()
+        self._schedule_read()
 
     def _receive(self, data):
         self._metrics.count("peers.received")
@@ -227,10 +229,10 @@
             self._metrics.count("peers.undecodable")
             logs.log("peer-message-undecodable", reason=str(error))
             return
-        self._take(frame.sender, frame.address, message)
+        self._deliver(frame.sender, frame.address, message)
 
     def close(self):
-        """Close every socket."""
+        """Close all sockets."""
         self._reactor.removeReader(self)
         self._pull.close()
         for push in self._push_by_address.values():
