--- a/thornport/once/once_test.py
+++ b/thornport/once/once_test.py
@@ -179,7 +179,7 @@
             model.step()
         self.assertEqual(set(model.runs_by_key.values()), {1})
 
-    def test_key_is_doubted_after_both_its_holders_are_lost(self):
+    def test_key_is_doubted_after_two_of_its_holders_are_lost(self):
         old, new = make_key(1_000_000), make_key(2_000_000)
         ring = record.NO_RING
         holders_by_id = {}
