--- a/thornport/membership/__init__.py
+++ b/thornport/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who the members of a ring are, and which of them may act right now."""
+"""Ring membership: the members of a ring, and which of them may act now."""
--- a/thornport/membership/node.py
+++ b/thornport/membership/node.py
@@ -28,8 +28,7 @@
     Attributes:
       guard: The guard.Guard of the current incarnation; None before `start`.
       in_force: An inforce.InForce.
-      on_ring: A callable of a record.Ring and a time, called for each newer ring that
-        has not removed this member.
+      on_ring: A callable of a record.Ring and a time, called for each newer ring.
       on_settings: A callable, called when newer settings are in force.
       on_new_incarnation: A callable of the member id, called for each incarnation.
     """
--- a/thornport/peers/__init__.py
+++ b/thornport/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between thornport's own processes, over zmq."""
+"""Messages between thornport's own processes over ZeroMQ."""
