--- a/thornport/cell/dispatch/executing.py
+++ b/thornport/cell/dispatch/executing.py
@@ -1,7 +1,8 @@
 """Executes the calls to workers that the owner of the cell passes to this process.
 
-Answers of workers are returned unchanged. While calls are open, this process sends
-the owner a heartbeat ten times a second, so that its failure is detected soon.
+Any process may be an owner. Answers of workers are returned unchanged. While calls are
+open, this process sends the owner a heartbeat ten times a second, so that its failure
+is detected soon.
 """
 
 import functools
@@ -60,7 +61,10 @@
     def start(self):
         """Start the heartbeats and the search for idle workers."""
         tasks.call_periodically(
-            self._reactor, HEARTBEAT_PERIOD_S, self._send_heartbeats, "send-heartbeats"
+            self._reactor,
+            HEARTBEAT_PERIOD_S,
+            self._send_heartbeats,
+            "send-owner-heartbeats",
         )
         tasks.call_periodically(
             self._reactor, IDLE_PERIOD_S, self._forget_idle, "forget-idle-workers"
