--- a/bench/thin.py
+++ b/bench/thin.py
@@ -92,7 +92,7 @@
         self._in_force = in_force
         self._metrics = metrics
         self._dispatcher = ThinDispatcher(reactor)
-        self._naming = callers.Naming()
+        self._request_ids = callers.RequestIds()
         self._in_flight_by_address = {}
         self.listed_by_address = {}
 
@@ -107,7 +107,7 @@
             service,
             get_header,
             body,
-            self._naming.make_id(),
+            self._request_ids.make_id(),
             clock.read_monotonic(),
         )
 
--- a/thornport/entry/callers.py
+++ b/thornport/entry/callers.py
@@ -201,7 +201,7 @@
     return reactor.listenTCP(port, site, interface=ip, backlog=1024)
 
 
-class Naming:
+class RequestIds:
     """Makes ids for requests that bring no key of their own."""
 
     __slots__ = ("_incarnation", "_next")
--- a/thornport/entry/daemon.py
+++ b/thornport/entry/daemon.py
@@ -72,7 +72,7 @@
     def _wire(self):
         self.node.on_ring = self._take_ring
         self.node.on_settings = self._take_settings
-        self.node.on_new_incarnation = self._start_life
+        self.node.on_new_incarnation = self._start_incarnation
         self.sharing.on_slots = self.front.waiting.pump
         self.front.slots.on_leaving = self.take_leaving
         self.front.may_act = self.node.may_act
@@ -80,9 +80,9 @@
     def _read_demand(self):
         return self.front.services.read_demand()
 
-    def _start_life(self, member_id):
-        self.sharing.start_life(member_id)
-        self.keys.start_life(member_id)
+    def _start_incarnation(self, member_id):
+        self.sharing.start_incarnation(member_id)
+        self.keys.start_incarnation(member_id)
 
     def _take_ring(self, ring, now):
         self.sharing.take_ring(ring, now)
--- a/thornport/entry/front.py
+++ b/thornport/entry/front.py
@@ -21,7 +21,7 @@
 
     Attributes:
       services: A services.Services.
-      waiting: A waiting.WaitingRoom.
+      waiting: A waiting.WaitingRequests.
       slots: A slots.Slots.
       dispatcher: A dispatch.Dispatcher.
       may_act: Called with the time; whether this entry has a part in the ring.
@@ -42,13 +42,13 @@
         self._sharing = sharing
         self._keys = key_claims
         self._metrics = metrics
-        self._naming = callers.Naming()
+        self._request_ids = callers.RequestIds()
         self._count_by_workspace = collections.Counter()
         self._is_stopping = False
         self._contact = contact.Contact()
         self.may_act = lambda now: False
         self.services = services.Services(in_force)
-        self.waiting = waiting.WaitingRoom(self.services, sharing)
+        self.waiting = waiting.WaitingRequests(self.services, sharing)
         self.slots = slots.Slots(reactor, in_force, sharing, self.waiting.pump)
         self.dispatcher = dispatch.Dispatcher(reactor)
         self.in_flight = 0
@@ -81,7 +81,7 @@
             service,
             get_header,
             body,
-            self._naming.make_id(),
+            self._request_ids.make_id(),
             clock.read_monotonic(),
         )
         return read.alt(self._count_refusal)
@@ -140,18 +140,20 @@
     async def _serve_once(self, request):
         """Run a request whose key was never run, and keep its end."""
         declared = self._config.services_by_name[request.service]
-        verdict = await self._keys.claim(request, declared.key_life_ms)
-        if verdict.decision is not claims.Decision.FRESH:
-            self._keys.release(verdict)
-            return verdict.answer or keys.GIVEN_UP_BY_RULING[verdict.decision]
+        claim_result = await self._keys.claim(request, declared.key_life_ms)
+        if claim_result.decision is not claims.Decision.FRESH:
+            self._keys.release(claim_result)
+            return (
+                claim_result.answer or keys.GIVEN_UP_BY_DECISION[claim_result.decision]
+            )
         done = await self._run(request)
         if isinstance(done, outcome.Answer):
             fits = len(done.body) <= declared.max_answer_bytes
-            self._keys.finish(verdict, done if fits else None)
+            self._keys.finish(claim_result, done if fits else None)
         elif done.outcome is outcome.Outcome.NOT_RUN:
-            self._keys.release(verdict)
+            self._keys.release(claim_result)
         else:
-            self._keys.finish(verdict, None)
+            self._keys.finish(claim_result, None)
         return done
 
     async def _run(self, request):
@@ -185,7 +187,7 @@
         return request.attempts < MAX_ATTEMPTS and service.budget.spend()
 
     def _find_slot(self, service, request, avoid):
-        """Find a slot now or later, as `WaitingRoom.find_slot`."""
+        """Find a slot now or later, as `WaitingRequests.find_slot`."""
         if self._contact.is_lost(clock.read_monotonic()):
             return defer.succeed(outcome.not_run(outcome.Reason.CUT_OFF, "", 1))
         return self.waiting.find_slot(service, request, avoid)
--- a/thornport/entry/front_test.py
+++ b/thornport/entry/front_test.py
@@ -58,7 +58,7 @@
         """Believe that no connection to a backend server can be made."""
         self.borrower.take_unreachable(address)
 
-    def tell_soon(self):
+    def send_demands_soon(self):
         """Nobody is told."""
 
 
--- a/thornport/entry/keys.py
+++ b/thornport/entry/keys.py
@@ -11,7 +11,7 @@
 NO_QUORUM_TRIES = 3
 RETRY_CLAIM_S = 0.2
 
-GIVEN_UP_BY_RULING = {
+GIVEN_UP_BY_DECISION = {
     claims.Decision.BUSY: outcome.may_have_run(
         outcome.Reason.KEY_BUSY, "a request with this key is running", 1
     ),
@@ -53,7 +53,7 @@
         """Start the periodic work."""
         tasks.call_periodically(self._reactor, TICK_S, self._tick, "keys")
 
-    def start_life(self, member_id):
+    def start_incarnation(self, member_id):
         """Go on as another life: no record is held any more."""
         self.holder = holder.Holder(member_id)
 
@@ -66,8 +66,8 @@
         for member_id in self.holder.list_to_ask(now):
             self._node.send(member_id, messages.AskRecords(self.holder.ring.epoch))
         self.holder.expire(now)
-        for verdict in self._claims.expire(now):
-            self._tell(verdict)
+        for claim_result in self._claims.expire(now):
+            self._tell(claim_result)
 
     async def claim(self, request, key_life_ms):
         """Claim the key of a request.
@@ -80,13 +80,13 @@
           or `release`.
         """
         for _ in range(NO_QUORUM_TRIES):
-            verdict = await self._claim_once(request, key_life_ms)
-            if verdict.decision is not claims.Decision.NO_QUORUM:
-                return verdict
+            claim_result = await self._claim_once(request, key_life_ms)
+            if claim_result.decision is not claims.Decision.NO_QUORUM:
+                return claim_result
             if clock.read_monotonic() + RETRY_CLAIM_S >= request.deadline:
-                return verdict
+                return claim_result
             # The ring may just be changing; its members settle in moments.
-            self.release(verdict)
+            self.release(claim_result)
             await tasks.sleep(self._reactor, RETRY_CLAIM_S)
         return await self._claim_once(request, key_life_ms)
 
@@ -106,25 +106,25 @@
         for member, message in said:
             self._node.send(member.member_id, message)
 
-    def finish(self, verdict, answer):
+    def finish(self, claim_result, answer):
         """End a claim whose request has run, or may have.
 
         Args:
-          verdict: A claims.ClaimResult, FRESH.
+          claim_result: A claims.ClaimResult, FRESH.
           answer: An outcome.Answer to keep, or None.
         """
-        self._say(self._claims.finish(verdict.claim_id, answer))
+        self._say(self._claims.finish(claim_result.claim_id, answer))
 
-    def release(self, verdict):
+    def release(self, claim_result):
         """End a claim whose request was not run.
 
         Args:
-          verdict: A claims.ClaimResult.
+          claim_result: A claims.ClaimResult.
         """
-        self._say(self._claims.release(verdict.claim_id))
+        self._say(self._claims.release(claim_result.claim_id))
 
-    def _tell(self, verdict):
-        self._waiting_by_claim_id.pop(verdict.claim_id).callback(verdict)
+    def _tell(self, claim_result):
+        self._waiting_by_claim_id.pop(claim_result.claim_id).callback(claim_result)
 
     def take_claim(self, sender_id, claim):
         """Vote on a claim."""
@@ -134,9 +134,9 @@
 
     def take_voted(self, sender_id, voted):
         """Count a vote."""
-        verdict = self._claims.take_vote(sender_id, voted)
-        if verdict:
-            self._tell(verdict)
+        claim_result = self._claims.take_vote(sender_id, voted)
+        if claim_result:
+            self._tell(claim_result)
 
     def take_ask(self, sender_id, ask):
         """Give a member the records it should hold."""
--- a/thornport/entry/sharing.py
+++ b/thornport/entry/sharing.py
@@ -43,7 +43,7 @@
         """Start the periodic work."""
         tasks.call_periodically(self._reactor, TICK_S, self._tick, "share-slots")
 
-    def start_life(self, member_id):
+    def start_incarnation(self, member_id):
         """Go on as another life: nothing is lent any more."""
         self.lender = lender.Lender(member_id)
         self.lender.take_backends(self._backends_by_address, clock.read_monotonic())
@@ -53,7 +53,7 @@
         self._homes = homes.Homes(ring)
         self.lender.take_ring(ring, now)
         self.lender.take_backends(self._backends_by_address, now)
-        self.tell_soon()
+        self.send_demands_soon()
 
     def take_listed(self, listed_by_address, services_by_name):
         """Take the list of VMs and the services in force.
@@ -128,23 +128,23 @@
         demand = self._read_demand()
         is_due = now >= self._demanded_at + DEMAND_PERIOD_S
         if is_due or demand != self._last_demand:
-            self._tell_all(demand, now)
+            self._send_demands(demand, now)
 
-    def _tell_all(self, demand, now):
+    def _send_demands(self, demand, now):
         self._last_demand = demand
         self._demanded_at = now
         for home_id in self._homes.ring.member_ids:
             said = self.borrower.make_demand(self._homes, home_id, demand, now)
             self._node.send(home_id, said)
 
-    def tell_soon(self):
+    def send_demands_soon(self):
         """Tell all homes within moments; many calls make one telling."""
         if self._pending is None:
-            self._pending = self._reactor.callLater(SOON_S, self._tell_now)
+            self._pending = self._reactor.callLater(SOON_S, self._send_demands_now)
 
-    def _tell_now(self):
+    def _send_demands_now(self):
         self._pending = None
-        self._tell_all(self._read_demand(), clock.read_monotonic())
+        self._send_demands(self._read_demand(), clock.read_monotonic())
 
     def take_demand(self, sender_id, demand):
         """Take a borrower's demand, if this process may lend."""
--- a/thornport/entry/slots.py
+++ b/thornport/entry/slots.py
@@ -103,6 +103,6 @@
         self._sharing.borrower.free_slot(target)
         if target.in_flight >= target.limit:
             # The home waits for this slot, to lend it to another.
-            self._sharing.tell_soon()
+            self._sharing.send_demands_soon()
         if service.queue:
             self._pump()
--- a/thornport/entry/slots_test.py
+++ b/thornport/entry/slots_test.py
@@ -86,10 +86,10 @@
 
     def test_home_hears_of_a_slot_that_it_wants_back(self):
         self.slots.end(self.begin(), ANSWER)
-        self.sharing.tell_soon.assert_called_once_with()
+        self.sharing.send_demands_soon.assert_called_once_with()
         self.target.in_flight = 0
         self.slots.end(self.begin(), ANSWER)
-        self.sharing.tell_soon.assert_called_once_with()
+        self.sharing.send_demands_soon.assert_called_once_with()
 
 
 if __name__ == "__main__":
--- a/thornport/entry/waiting.py
+++ b/thornport/entry/waiting.py
@@ -5,7 +5,7 @@
 from thornport.kernel import clock
 
 
-class WaitingRoom:
+class WaitingRequests:
     """Who waits at this entry, and what each is told."""
 
     def __init__(self, services, sharing):
@@ -42,7 +42,7 @@
         self._give_up(given_up_on)
         if not waiting:
             return defer.succeed(given_up_on[0].given_up)
-        self._sharing.tell_soon()
+        self._sharing.send_demands_soon()
         return told
 
     def _give_up(self, given_up_on):
--- a/thornport/entry/waiting_test.py
+++ b/thornport/entry/waiting_test.py
@@ -32,7 +32,7 @@
         """Count slots."""
         return 1
 
-    def tell_soon(self):
+    def send_demands_soon(self):
         """Count the telling."""
         self.tellings += 1
 
@@ -48,7 +48,7 @@
         self.sharing = FakeSharing()
         found = services.Services(services_test.make_in_force())
         self.service = found.find(SERVICE)
-        self.waiting = waiting.WaitingRoom(found, self.sharing)
+        self.waiting = waiting.WaitingRequests(found, self.sharing)
 
     def find(self, price=10):
         """Ask for a slot; the list gets what the request is told."""
