--- a/thornport/placement/daemon.py
+++ b/thornport/placement/daemon.py
@@ -19,7 +19,7 @@
 
 RING_NAME = "placer"
 JOBS_PREFIX = "thornport/jobs/"
-FOUNDED_KEY = "thornport/placed"
+FIRST_PLACER_KEY = "thornport/placed"
 REPORT_PERIOD_S = 0.5
 RETRY_STORE_S = 0.5
 CODEC = codec.Codec(guard.Beat | guard.Ack | relay.Want | relay.Have)
@@ -156,7 +156,7 @@
         self._placer.finished_jobs.update(names)
         value = self._node.guard.me.member_id.encode()
         founded = await port.resolve_write(
-            self._store, FOUNDED_KEY, value, port.ABSENT_INDEX
+            self._store, FIRST_PLACER_KEY, value, port.ABSENT_INDEX
         )
         is_known = isinstance(founded, result.Success)
         if not is_known and not port.is_failure(founded, port.Conflict):
@@ -183,7 +183,7 @@
         now = clock.read_monotonic()
         if not self._decides(now):
             return
-        self._placer.lapse(now)
+        self._placer.end_lapsed_runs(now)
         if now >= self._may_place_at:
             self._carry_out(self._placer.place(now))
 
--- a/thornport/placement/model.py
+++ b/thornport/placement/model.py
@@ -9,7 +9,7 @@
 import msgspec
 
 
-class Needs(msgspec.Struct, frozen=True):
+class Resources(msgspec.Struct, frozen=True):
     """Processors, memory and accelerators, of a task or of a worker."""
 
     cores: float
@@ -18,7 +18,7 @@
 
     def add(self, other):
         """Add, giving a new Needs."""
-        return Needs(
+        return Resources(
             self.cores + other.cores,
             self.memory_mb + other.memory_mb,
             self.accelerators + other.accelerators,
@@ -26,7 +26,7 @@
 
     def subtract(self, other):
         """Subtract, giving a new Needs."""
-        return Needs(
+        return Resources(
             self.cores - other.cores,
             self.memory_mb - other.memory_mb,
             self.accelerators - other.accelerators,
@@ -90,7 +90,7 @@
     run_id: str
     task_id: str
     worker: str
-    needs: Needs
+    needs: Resources
     state: RunState
     lease_deadline: float
 
@@ -107,9 +107,9 @@
     incarnation: str
     rack: str
     hall: str
-    total: Needs
+    total: Resources
     reported_at: float
-    free: Needs
+    free: Resources
     live_run_ids: set[str] = msgspec.field(default_factory=set)
 
 
@@ -132,7 +132,7 @@
     task_id: str
     job_name: str
     price: int
-    needs: Needs
+    needs: Resources
     run_ms: int
     state: TaskState = TaskState.PENDING
     run_id: str = ""
@@ -145,7 +145,7 @@
     worker: str
     task_id: str
     run_id: str
-    needs: Needs
+    needs: Resources
     run_ms: int
     lease_ms: int
 
--- a/thornport/placement/placer.py
+++ b/thornport/placement/placer.py
@@ -38,7 +38,7 @@
         self._next_run = 0
         self._queue = []
         self._left_by_job = {}
-        self._room = sortedcontainers.SortedKeyList(key=order_by_room)
+        self._room = sortedcontainers.SortedKeyList(key=order_by_free)
         self.workers_by_address = {}
         self.runs_by_id = {}
         self.tasks_by_id = {}
@@ -54,7 +54,7 @@
             if name in self._left_by_job or name in self.finished_jobs:
                 continue
             price = config.tiers_by_name[job.tier].price
-            needs = model.Needs(job.cores, job.memory_mb, job.accelerators)
+            needs = model.Resources(job.cores, job.memory_mb, job.accelerators)
             self._left_by_job[name] = job.tasks
             for number in range(job.tasks):
                 task_id = f"{name}/{number}"
@@ -73,7 +73,7 @@
           A list of commands.
         """
         worker = self.workers_by_address.get(address)
-        total = model.Needs(report.cores, report.memory_mb, report.accelerators)
+        total = model.Resources(report.cores, report.memory_mb, report.accelerators)
         if worker is None:
             worker = model.Worker(
                 address, report.incarnation, report.rack, report.hall, total, now, total
@@ -116,14 +116,14 @@
             return self._adopt_finished(task)
         if report.state not in model.LIVE_STATES:
             return []
-        needs = model.Needs(report.cores, report.memory_mb, report.accelerators)
+        needs = model.Resources(report.cores, report.memory_mb, report.accelerators)
         run = model.Run(
             report.run_id,
             report.task_id,
             worker.address,
             needs,
             model.RunState.RUNNING,
-            find_start_end(now),
+            compute_lease_deadline(now),
         )
         self._hold(worker, run)
         if task is None or task.state is not model.TaskState.PENDING:
@@ -180,7 +180,7 @@
     def _enqueue(self, task):
         heapq.heappush(self._queue, (-task.price, task.task_id))
 
-    def lapse(self, now):
+    def end_lapsed_runs(self, now):
         """End the runs whose leases have surely lapsed at their workers.
 
         Args:
@@ -233,7 +233,7 @@
             worker.address,
             task.needs,
             model.RunState.STARTING,
-            find_start_end(now),
+            compute_lease_deadline(now),
         )
         self._hold(worker, run)
         task.state = model.TaskState.PLACED
@@ -250,7 +250,7 @@
         Returns:
           A list of model.RenewLeases.
         """
-        deadline = find_start_end(now)
+        deadline = compute_lease_deadline(now)
         commands = []
         for worker in self.workers_by_address.values():
             is_silent = now >= worker.reported_at + SILENCE_S
@@ -263,7 +263,7 @@
         return commands
 
 
-def find_start_end(now):
+def compute_lease_deadline(now):
     """Find when a run whose start is sent now has surely lapsed, if nothing
     more is heard of it: the command may take its whole time to arrive.
 
@@ -275,7 +275,7 @@
     return now + TAKEOVER_WAIT_S
 
 
-def order_by_room(worker):
+def order_by_free(worker):
     """Give the key that sorts workers by what they have left.
 
     Args:
--- a/thornport/placement/placer_test.py
+++ b/thornport/placement/placer_test.py
@@ -17,7 +17,7 @@
 
 STEP_S = 0.25
 WORKERS = ("w1", "w2", "w3")
-TOTAL = model.Needs(8.0, 8000, 2)
+TOTAL = model.Resources(8.0, 8000, 2)
 
 
 def make_config(jobs):
@@ -136,7 +136,7 @@
             if not self.is_cut(address) and self.choices.random() < 0.8:
                 report = worker.report(self.now)
                 self.carry_out(self.placer.take_report(address, report, self.now))
-        self.placer.lapse(self.now)
+        self.placer.end_lapsed_runs(self.now)
         if self.now >= self.may_place_at:
             self.carry_out(self.placer.place(self.now))
         self.carry_out(self.placer.renew(self.now))
