--- a/thornport/entry/daemon.py
+++ b/thornport/entry/daemon.py
@@ -74,7 +74,7 @@
         self.node.on_settings = self._take_settings
         self.node.on_new_incarnation = self._start_incarnation
         self.sharing.on_slots = self.front.waiting.pump
-        self.front.slots.on_leaving = self.take_leaving
+        self.front.slots.on_leaving = self.mark_leaving
         self.front.may_act = self.node.may_act
 
     def _read_demand(self):
@@ -162,25 +162,25 @@
             response = await self._http.get(url, timeout=HEALTH_TIMEOUT_S)
             await httpbody.read_body(self._reactor, response, HEALTH_TIMEOUT_S)
         except neterror.ConnectionRefusedError:
-            self.sharing.take_unreachable(address)
+            self.sharing.mark_unreachable(address)
             return
         except Exception as error:
             # A server that does not answer is passed over for its failed
             # requests; only its own word makes it a leaving one.
             logs.log("backend-silent", backend=address, reason=str(error))
             return
-        self.sharing.take_reachable(address)
+        self.sharing.mark_reachable(address)
         if response.code == HTTP_UNAVAILABLE:
-            self.take_leaving(address)
+            self.mark_leaving(address)
 
-    def take_leaving(self, address, is_from_peer=False):
+    def mark_leaving(self, address, is_from_peer=False):
         """Believe that a backend server is leaving, and tell the peers.
 
         Args:
           address: A str.
           is_from_peer: A bool; peers' news is not passed on.
         """
-        if self.sharing.take_leaving(address) and not is_from_peer:
+        if self.sharing.mark_leaving(address) and not is_from_peer:
             for member_id in self.node.ring.member_ids:
                 self.node.send(member_id, loans.BackendNews(address))
 
--- a/thornport/entry/front_test.py
+++ b/thornport/entry/front_test.py
@@ -54,9 +54,9 @@
         now = clock.read_monotonic()
         self.borrower.take_grants(loans.Grants(now, FOR_LONG_MS, grants))
 
-    def take_unreachable(self, address):
+    def mark_unreachable(self, address):
         """Believe that no connection to a backend server can be made."""
-        self.borrower.take_unreachable(address)
+        self.borrower.mark_unreachable(address)
 
     def send_demands_soon(self):
         """Nobody is told."""
--- a/thornport/entry/peering.py
+++ b/thornport/entry/peering.py
@@ -90,7 +90,7 @@
 @take.register
 def take_news(message: loans.BackendNews, entry, sender_id, address):
     """Believe that a backend server is leaving."""
-    entry.take_leaving(message.backend, is_from_peer=True)
+    entry.mark_leaving(message.backend, is_from_peer=True)
 
 
 @take.register
--- a/thornport/entry/sharing.py
+++ b/thornport/entry/sharing.py
@@ -81,30 +81,30 @@
         now = clock.read_monotonic()
         self.lender.take_backends(self._backends_by_address, now)
 
-    def take_leaving(self, address):
+    def mark_leaving(self, address):
         """Believe that a backend server is leaving.
 
         Returns:
           A bool, whether this is news.
         """
-        if not self.borrower.take_leaving(address):
+        if not self.borrower.mark_leaving(address):
             return False
         logs.log("backend-leaving", backend=address)
         self._refresh_backends()
         return True
 
-    def take_unreachable(self, address):
+    def mark_unreachable(self, address):
         """Believe that no connection to a backend server can be made.
 
         Its slots are not lent either, or an entry could be left with these alone.
         """
-        if self.borrower.take_unreachable(address):
+        if self.borrower.mark_unreachable(address):
             logs.log("backend-unreachable", backend=address)
             self._refresh_backends()
 
-    def take_reachable(self, address):
+    def mark_reachable(self, address):
         """Believe that a backend server can be reached."""
-        if self.borrower.take_reachable(address):
+        if self.borrower.mark_reachable(address):
             logs.log("backend-reachable", backend=address)
             self._refresh_backends()
 
--- a/thornport/entry/slots.py
+++ b/thornport/entry/slots.py
@@ -91,7 +91,7 @@
         if failed and done.reason is outcome.Reason.REFUSED:
             self.on_leaving(target.address)
         if failed and done.reason is outcome.Reason.UNREACHABLE:
-            self._sharing.take_unreachable(target.address)
+            self._sharing.mark_unreachable(target.address)
         if may_have_run:
             # It may still be running there, so its slot is not free.
             left_s = max(0.0, use.began_at + use.max_run_s - ended_at)
--- a/thornport/entry/slots_test.py
+++ b/thornport/entry/slots_test.py
@@ -72,7 +72,7 @@
 
     def test_server_that_cannot_be_reached_is_believed_to_be(self):
         self.slots.end(self.begin(), outcome.not_run(outcome.Reason.UNREACHABLE))
-        self.sharing.take_unreachable.assert_called_once_with(ADDRESS)
+        self.sharing.mark_unreachable.assert_called_once_with(ADDRESS)
         self.assertEqual((self.left, self.count_freed()), ([], 1))
 
     def test_request_that_is_too_late_frees_it_at_once(self):
--- a/thornport/routing/admission.py
+++ b/thornport/routing/admission.py
@@ -20,7 +20,7 @@
 from thornport.routing import outcome
 from thornport.routing import request as requests
 
-AGING_TURN = 10
+AGING_INTERVAL = 10
 RUN_TIME_WEIGHT = 0.05
 DEVIATIONS = 2.0
 MIN_RETRY_AFTER_S = 1
@@ -40,7 +40,7 @@
     order: tuple[int, int]
 
 
-class GivenUpOn(msgspec.Struct, frozen=True):
+class ShedRequest(msgspec.Struct, frozen=True):
     """A request that leaves the queue without having run."""
 
     waiting: Waiting
@@ -119,7 +119,7 @@
           now: A float.
         Returns:
           A pair of the Waiting, or None if it is given up on, and a list of
-          GivenUpOn; a newcomer that is given up on is in the list.
+          ShedRequest; a newcomer that is given up on is in the list.
         """
         self._next += 1
         give_up_at = request.deadline - self.long_run_s
@@ -127,7 +127,7 @@
         wait_s = self.estimate_wait_s(request.price, slots)
         if now + wait_s > give_up_at:
             given_up = self._make_given_up(outcome.Reason.DEADLINE, wait_s)
-            return None, [GivenUpOn(waiting, given_up)]
+            return None, [ShedRequest(waiting, given_up)]
         if len(self) < self.limit:
             self._insert(waiting)
             return waiting, []
@@ -135,13 +135,13 @@
         if cheapest.request.price >= request.price:
             reason = outcome.Reason.QUEUE_FULL
             given_up = self._make_given_up(reason, wait_s)
-            return None, [GivenUpOn(waiting, given_up)]
+            return None, [ShedRequest(waiting, given_up)]
         self.remove(cheapest)
         self._insert(waiting)
         reason = outcome.Reason.OUTBID
         wait_s = self.estimate_wait_s(cheapest.request.price, slots)
         given_up = self._make_given_up(reason, wait_s)
-        return waiting, [GivenUpOn(cheapest, given_up)]
+        return waiting, [ShedRequest(cheapest, given_up)]
 
     def _insert(self, waiting):
         price, number = -waiting.order[0], waiting.order[1]
@@ -175,7 +175,7 @@
         if not self._by_order:
             return None
         self._turns += 1
-        if self._turns % AGING_TURN == 0:
+        if self._turns % AGING_INTERVAL == 0:
             waiting = self._by_age.peekitem(0)[1]
         else:
             waiting = self._by_order.peekitem(0)[1]
@@ -188,14 +188,14 @@
         Args:
           now: A float.
         Returns:
-          A list of GivenUpOn.
+          A list of ShedRequest.
         """
         late = []
         while self._by_give_up and self._by_give_up.peekitem(0)[0][0] <= now:
             waiting = self._by_give_up.peekitem(0)[1]
             self.remove(waiting)
             given_up = self._make_given_up(outcome.Reason.DEADLINE, 0.0)
-            late.append(GivenUpOn(waiting, given_up))
+            late.append(ShedRequest(waiting, given_up))
         return late
 
     def give_up_all(self, reason):
@@ -204,13 +204,13 @@
         Args:
           reason: An outcome.Reason.
         Returns:
-          A list of GivenUpOn.
+          A list of ShedRequest.
         """
         everybody = list(self._by_order.values())
         for waiting in everybody:
             self.remove(waiting)
         given_up = outcome.not_run(reason, retry_after_s=MIN_RETRY_AFTER_S)
-        return [GivenUpOn(waiting, given_up) for waiting in everybody]
+        return [ShedRequest(waiting, given_up) for waiting in everybody]
 
     def _make_given_up(self, reason, wait_s):
         retry_after_s = min(
--- a/thornport/routing/admission_test.py
+++ b/thornport/routing/admission_test.py
@@ -38,7 +38,7 @@
         queue = admission.Queue(100)
         queue.offer(make_request(1), 1, 0.0)
         seen = []
-        for _ in range(admission.AGING_TURN):
+        for _ in range(admission.AGING_INTERVAL):
             queue.offer(make_request(9), 1, 0.0)
             seen.append(queue.take_next().request.price)
         self.assertEqual(seen.count(1), 1)
@@ -80,4 +80,4 @@
         for _ in range(1000):
             budget.earn()
             made += budget.spend()
-        self.assertLessEqual(made, 100 + retries.MAX_SAVED)
+        self.assertLessEqual(made, 100 + retries.MAX_SAVED_RETRIES)
--- a/thornport/routing/borrower.py
+++ b/thornport/routing/borrower.py
@@ -94,7 +94,7 @@
         for target in self.targets_by_address.values():
             self._targets_by_service.setdefault(target.service, []).append(target)
 
-    def take_leaving(self, address):
+    def mark_leaving(self, address):
         """Believe at once that a backend server is leaving.
 
         Args:
@@ -109,7 +109,7 @@
             target.leaving = True
         return is_news
 
-    def take_unreachable(self, address):
+    def mark_unreachable(self, address):
         """Believe that no connection to a backend server can be made.
 
         It has every slot free, so each request that waits would be sent there in
@@ -126,7 +126,7 @@
         target.unreachable = True
         return True
 
-    def take_reachable(self, address):
+    def mark_reachable(self, address):
         """Believe that a backend server can be reached.
 
         Args:
--- a/thornport/routing/ledgers.py
+++ b/thornport/routing/ledgers.py
@@ -24,14 +24,14 @@
     Attributes:
       peak: An int, the highest limit among the grants it may still act on.
       in_flight: An int, as it last said.
-      over_at: A float, past which nothing of it can be running.
+      expires_at: A float, past which nothing of it can be running.
     """
 
     seq: int = 0
     limit: int = 0
     peak: int = 0
     in_flight: int = 0
-    over_at: float = 0.0
+    expires_at: float = 0.0
 
     @property
     def liability(self):
@@ -43,13 +43,13 @@
     """The loans of one backend server.
 
     Attributes:
-      unknown_from: A float, when a former home may have been lost; for the
+      unaccounted_from: A float, when a former home may have been lost; for the
         length of a loan and a run from then, every slot that is not accounted
         for may be in use.
     """
 
     backend: Backend
-    unknown_from: float
+    unaccounted_from: float
     loans_by_id: dict[str, Loan] = msgspec.field(default_factory=dict)
 
 
@@ -61,7 +61,7 @@
     demand: dict[str, dict[int, int]]
 
 
-def find_end(backend, heard_at):
+def compute_loan_end(backend, heard_at):
     """Find when nothing lent to a borrower can be running any more.
 
     Args:
@@ -74,7 +74,7 @@
     return heard_at + lasting_s * clock.CLOCK_RATE_MARGIN
 
 
-def end_loans(ledger, now):
+def expire_loans(ledger, now):
     """End the loans of borrowers that were silent for long enough.
 
     Args:
@@ -82,7 +82,7 @@
       now: A float.
     """
     for borrower_id, loan in list(ledger.loans_by_id.items()):
-        if now >= loan.over_at:
+        if now >= loan.expires_at:
             del ledger.loans_by_id[borrower_id]
 
 
@@ -97,7 +97,7 @@
     return sum(loan.liability for loan in ledger.loans_by_id.values())
 
 
-def count_unknown(ledger, now):
+def count_unaccounted(ledger, now):
     """Count the slots that a lost home may have lent to whom nobody knows.
 
     Args:
@@ -106,6 +106,6 @@
     Returns:
       An int.
     """
-    if now >= find_end(ledger.backend, ledger.unknown_from):
+    if now >= compute_loan_end(ledger.backend, ledger.unaccounted_from):
         return 0
     return max(0, ledger.backend.slots - count_liable(ledger))
--- a/thornport/routing/lender.py
+++ b/thornport/routing/lender.py
@@ -38,7 +38,7 @@
         self._settling = settling.Settling(me)
         self._opened_epoch = 0
         self._next_seq = 0
-        self._unknown_from = float("-inf")
+        self._unaccounted_from = float("-inf")
         self._known_lost = frozenset()
         self._backends_by_address = {}
         self._row_by_service = {}
@@ -64,7 +64,7 @@
         self._homes = homes.Homes(ring)
         lost = frozenset(entry.member_id for entry in ring.lost)
         if lost - self._known_lost or (first and lost):
-            self._unknown_from = now
+            self._unaccounted_from = now
         self._known_lost |= lost
         self._settling.take_ring(ring, now)
         self._settle_if_done(now)
@@ -80,7 +80,7 @@
         awaited, given_up = self._settling.list_to_ask(now)
         if given_up:
             # They have left and handed nothing over after all.
-            self._unknown_from = now
+            self._unaccounted_from = now
         self._settle_if_done(now)
         return awaited
 
@@ -107,13 +107,13 @@
         # Another member may have been the last home and be lost, even where
         # an earlier one hands something over.
         ledger = self.ledgers_by_address.setdefault(
-            address, ledgers.Ledger(backend, self._unknown_from)
+            address, ledgers.Ledger(backend, self._unaccounted_from)
         )
         for borrower, handed in handed_by_id.items():
-            over_at = clock.compute_deadline(handed.remaining_ms, now)
+            expires_at = clock.compute_deadline(handed.remaining_ms, now)
             loan = ledger.loans_by_id.setdefault(borrower, ledgers.Loan())
             loan.peak = max(loan.peak, handed.liability)
-            loan.over_at = max(loan.over_at, over_at)
+            loan.expires_at = max(loan.expires_at, expires_at)
 
     def _settle_if_done(self, now):
         if not self._settling.is_settled or self.is_settled:
@@ -149,17 +149,17 @@
 
     def _hand_over(self, ledger, now):
         """List every loan, the unaccounted slots among them."""
-        ledgers.end_loans(ledger, now)
+        ledgers.expire_loans(ledger, now)
         handed = {
             borrower: loans.HandedLoan(
-                loan.liability, clock.compute_remaining_ms(loan.over_at, now)
+                loan.liability, clock.compute_remaining_ms(loan.expires_at, now)
             )
             for borrower, loan in ledger.loans_by_id.items()
         }
-        unknown = ledgers.count_unknown(ledger, now)
+        unknown = ledgers.count_unaccounted(ledger, now)
         if unknown:
             left_ms = clock.compute_remaining_ms(
-                ledgers.find_end(ledger.backend, ledger.unknown_from), now
+                ledgers.compute_loan_end(ledger.backend, ledger.unaccounted_from), now
             )
             handed[UNKNOWN_BORROWER] = loans.HandedLoan(unknown, left_ms)
         return handed
@@ -188,7 +188,7 @@
                 continue
             ledger = self.ledgers_by_address.get(address)
             if ledger is None:
-                ledger = ledgers.Ledger(backend, self._unknown_from)
+                ledger = ledgers.Ledger(backend, self._unaccounted_from)
                 self.ledgers_by_address[address] = ledger
             # Whoever was home in between may never have taken this over.
             released = self._released_by_address.pop(address, None)
@@ -223,7 +223,7 @@
     def _take_hold(self, ledger, borrower_id, hold, now):
         loan = ledger.loans_by_id.setdefault(borrower_id, ledgers.Loan())
         loan.in_flight = hold.in_flight
-        loan.over_at = ledgers.find_end(ledger.backend, now)
+        loan.expires_at = ledgers.compute_loan_end(ledger.backend, now)
         # A loan handed over has no grant of this home yet (seq 0); a hold of
         # seq 0 says only that the former home's grant is still on its way.
         if loan.seq and hold.seq == loan.seq:
@@ -237,7 +237,9 @@
             if loan is None or self._homes.find(address) != self._me:
                 continue
             if loan.limit:
-                loan.over_at = ledgers.find_end(ledger.backend, borrower.heard_at)
+                loan.expires_at = ledgers.compute_loan_end(
+                    ledger.backend, borrower.heard_at
+                )
             by_backend[address] = loans.Grant(loan.seq, loan.limit)
         ttl_ms = int(loans.LOAN_S * clock.MS_PER_S)
         return loans.Grants(borrower.token, ttl_ms, by_backend)
@@ -284,11 +286,13 @@
 
     def _move_limits(self, ledger, targets, now):
         """Lower first; raise only by what is surely free."""
-        ledgers.end_loans(ledger, now)
+        ledgers.expire_loans(ledger, now)
         moved = set()
         # An older home knew less than the last, and the last may be lost; then
         # nothing is granted on the word of what was handed over.
-        is_known = now >= ledgers.find_end(ledger.backend, ledger.unknown_from)
+        is_known = now >= ledgers.compute_loan_end(
+            ledger.backend, ledger.unaccounted_from
+        )
         is_sound = is_known and ledgers.count_liable(ledger) <= ledger.backend.slots
         for borrower_id, loan in ledger.loans_by_id.items():
             target = targets.get(borrower_id, 0)
@@ -300,7 +304,7 @@
         free = (
             ledger.backend.slots
             - ledgers.count_liable(ledger)
-            - ledgers.count_unknown(ledger, now)
+            - ledgers.count_unaccounted(ledger, now)
         )
         for borrower_id, target in targets.items():
             if free <= 0:
--- a/thornport/routing/retries.py
+++ b/thornport/routing/retries.py
@@ -5,7 +5,7 @@
 backend servers grows by that fraction and no more.
 """
 
-MAX_SAVED = 20.0
+MAX_SAVED_RETRIES = 20.0
 
 
 class RetryBudget:
@@ -20,11 +20,11 @@
           ratio: A float, retries per request.
         """
         self._ratio = ratio
-        self._saved = MAX_SAVED / 2
+        self._saved = MAX_SAVED_RETRIES / 2
 
     def earn(self):
         """Count a request."""
-        self._saved = min(MAX_SAVED, self._saved + self._ratio)
+        self._saved = min(MAX_SAVED_RETRIES, self._saved + self._ratio)
 
     def spend(self):
         """Ask for a retry.
