--- a/thornport/kernel/daemons_test.py
+++ b/thornport/kernel/daemons_test.py
@@ -1,4 +1,4 @@
-"""The end of a process."""
+"""Tests of the exit of a process."""
 
 import subprocess
 import sys
@@ -14,9 +14,9 @@
 
 
 class EndProcess(unittest.TestCase):
-    """What a process does when its reactor has stopped."""
+    """The exit of a process whose reactor has stopped."""
 
-    def test_it_ends_well_and_takes_nothing_down(self):
+    def test_exit_flushes_output_and_skips_exit_handlers(self):
         ended = subprocess.run(
             [sys.executable, "-c", PROGRAM], capture_output=True, check=True
         )
--- a/thornport/kernel/draining_test.py
+++ b/thornport/kernel/draining_test.py
@@ -1,4 +1,4 @@
-"""Requests get their answer when it is there, when it is due, or at the end."""
+"""Tests that open requests are answered on time and when the process stops."""
 
 import unittest
 from unittest import mock
@@ -13,32 +13,32 @@
 
 
 class Waits(unittest.TestCase):
-    """Outcomes that are waited for, in simulated time."""
+    """Waits for the outcome of a request, in simulated time."""
 
     def setUp(self):
         self.clock = task.Clock()
         self.open_requests = draining.OpenRequests()
         self.running = defer.Deferred()
-        self.given = []
+        self.results = []
         waiting = self.open_requests.wait(self.clock, self.running, 2.0, lambda: "late")
-        tasks.spawn(waiting, "wait").addCallback(self.given.append)
+        tasks.spawn(waiting, "wait").addCallback(self.results.append)
 
-    def test_outcome_is_told_when_it_is_there(self):
+    def test_outcome_is_returned_when_it_comes(self):
         self.running.callback("done")
-        self.assertEqual(self.given, ["done"])
+        self.assertEqual(self.results, ["done"])
         self.assertFalse(self.clock.getDelayedCalls())
         self.assertEqual(self.open_requests.end_waits(), 0)
 
-    def test_what_is_due_is_answered_and_a_later_outcome_dropped(self):
+    def test_late_answer_is_given_when_due_and_later_outcome_is_dropped(self):
         self.clock.advance(2.1)
-        self.assertEqual(self.given, ["late"])
+        self.assertEqual(self.results, ["late"])
         self.running.callback("done")
-        self.assertEqual(self.given, ["late"])
+        self.assertEqual(self.results, ["late"])
 
-    def test_end_answers_what_is_open(self):
+    def test_end_waits_answers_open_requests(self):
         self.clock.advance(1.0)
         self.assertEqual(self.open_requests.end_waits(), 1)
-        self.assertEqual(self.given, ["late"])
+        self.assertEqual(self.results, ["late"])
         self.assertFalse(self.clock.getDelayedCalls())
 
     def test_late_failure_is_logged(self):
@@ -46,9 +46,9 @@
         with mock.patch.object(logs, "log") as log:
             self.running.errback(ValueError("a fault of ours"))
         self.assertEqual(log.call_args.args, ("task-failed",))
-        self.assertEqual(self.given, ["late"])
+        self.assertEqual(self.results, ["late"])
 
-    def test_one_answer_that_fails_holds_up_no_other(self):
+    def test_failing_late_answer_does_not_block_the_others(self):
         def fail():
             raise ValueError("a fault of ours")
 
@@ -58,14 +58,14 @@
         last = self.open_requests.wait(
             self.clock, defer.Deferred(), 1.0, lambda: "late too"
         )
-        defer.ensureDeferred(last).addCallback(self.given.append)
+        defer.ensureDeferred(last).addCallback(self.results.append)
         self.assertEqual(self.open_requests.end_waits(), 3)
-        self.assertEqual(self.given, ["late", "late too"])
+        self.assertEqual(self.results, ["late", "late too"])
         failed[0].trap(ValueError)
 
 
 class FakeTransport:
-    """A transport that keeps what is written."""
+    """A transport that records what is written."""
 
     disconnecting = False
     disconnected = False
@@ -74,39 +74,39 @@
         self.written = b""
 
     def write(self, data):
-        """Keep what is sent."""
+        """Record the data."""
         self.written += data
 
     def writeSequence(self, parts):
-        """Keep what is sent."""
+        """Record the data."""
         self.written += b"".join(parts)
 
     def loseConnection(self):
-        """Note that the server ends the connection."""
+        """Record that the server closes the connection."""
         self.disconnecting = True
 
     def getPeer(self):
-        """Nobody."""
+        """Return no address."""
 
     getHost = getPeer
 
     def registerProducer(self, producer, streaming):
-        """Take who writes."""
+        """Ignore the producer."""
 
     def unregisterProducer(self):
-        """Forget who writes."""
+        """Ignore the end of the producer."""
 
     def setTcpNoDelay(self, enabled):
-        """Take the option."""
+        """Ignore the option."""
 
 
-class Slow(resource.Resource):
-    """Answers when told."""
+class PendingResource(resource.Resource):
+    """A resource whose request is answered by the test."""
 
     isLeaf = True
 
     def render_GET(self, request):
-        """Keep the request."""
+        """Store the request."""
         self.request = request
         return server.NOT_DONE_YET
 
@@ -115,7 +115,7 @@
     """One connection to a site."""
 
     def setUp(self):
-        self.root = Slow()
+        self.root = PendingResource()
         self.open_requests = draining.OpenRequests()
         site = draining.DrainingSite(self.root, self.open_requests)
         self.channel = site.buildProtocol(None)
@@ -135,7 +135,7 @@
             self.assertEqual(self.open_requests.count, 0)
         self.assertFalse(self.transport.disconnecting)
 
-    def test_answer_while_draining_is_whole_and_closes_its_connection(self):
+    def test_answer_while_draining_is_complete_and_closes_its_connection(self):
         self.channel.dataReceived(REQUEST)
         self.open_requests.close_connections()
         self.answer()
@@ -143,20 +143,20 @@
         self.assertTrue(self.transport.written.endswith(b"x\r\n0\r\n\r\n"))
         self.assertTrue(self.transport.disconnecting)
 
-    def test_answer_that_announces_the_end_of_its_connection_ends_it(self):
+    def test_connection_close_header_closes_the_connection(self):
         self.channel.dataReceived(REQUEST)
         self.root.request.setHeader(b"Connection", b"close")
         self.answer()
         self.assertTrue(self.transport.disconnecting)
 
-    def test_answer_to_a_caller_that_went_away_while_draining_is_dropped(self):
+    def test_answer_is_dropped_if_its_caller_disconnected_while_draining(self):
         self.channel.dataReceived(REQUEST)
         self.open_requests.close_connections()
         self.channel.connectionLost(failure.Failure(error.ConnectionDone()))
         self.root.request.write(b"x")
         self.assertEqual(self.transport.written, b"")
 
-    def test_caller_that_goes_away_is_not_open_any_more(self):
+    def test_disconnected_caller_is_not_counted_as_open(self):
         self.channel.dataReceived(REQUEST)
         self.channel.connectionLost(failure.Failure(error.ConnectionDone()))
         self.assertEqual(self.open_requests.count, 0)
--- a/thornport/kernel/httpbody.py
+++ b/thornport/kernel/httpbody.py
@@ -18,7 +18,7 @@
     """Collects a body, and fails after a long pause or LONGEST_ANSWER_S in all.
 
     Attributes:
-      given: A Deferred of bytes.
+      body: A Deferred of bytes.
     """
 
     def __init__(self, reactor, silence_s):
@@ -28,7 +28,7 @@
           reactor: Twisted's reactor.
           silence_s: A float, the longest pause in seconds.
         """
-        self.given = defer.Deferred()
+        self.body = defer.Deferred()
         self._parts = []
         self._silence_s = silence_s
         self._silence_timer = reactor.callLater(
@@ -48,19 +48,19 @@
     def connectionLost(self, reason):
         """Deliver the body, or the error that cut it off."""
         self._stop_timers()
-        if self.given.called:
+        if self.body.called:
             return
         # PotentialDataLoss: a body without a length ends with its connection.
         if reason.check(client.ResponseDone, http.PotentialDataLoss):
-            self.given.callback(b"".join(self._parts))
+            self.body.callback(b"".join(self._parts))
         else:
-            self.given.errback(reason)
+            self.body.errback(reason)
 
     def _give_up(self, what, waited_s):
         self._stop_timers()
         received = sum(len(part) for part in self._parts)
         message = f"{what} for {waited_s} s after {received} bytes"
-        self.given.errback(SilentBodyError(message))
+        self.body.errback(SilentBodyError(message))
         # The transport of an Agent has no abortConnection; with nothing left to send,
         # loseConnection closes at once.
         self.transport.loseConnection()
@@ -84,4 +84,4 @@
     """
     reader = BodyReader(reactor, silence_s)
     response.deliverBody(reader)
-    return reader.given
+    return reader.body
--- a/thornport/kernel/httpbody_test.py
+++ b/thornport/kernel/httpbody_test.py
@@ -1,4 +1,4 @@
-"""A body is given up for a pause, not for its size."""
+"""Tests that a body times out by its pauses, not by its size."""
 
 import unittest
 
@@ -12,39 +12,39 @@
 
 
 class FakeTransport:
-    """A transport of a connection."""
+    """A transport that records whether it was closed."""
 
     is_ended = False
 
     def loseConnection(self):
-        """End the connection."""
+        """Record that the connection was closed."""
         self.is_ended = True
 
 
 class FakeResponse:
-    """An answer whose body is delivered by hand, over a transport as of an Agent."""
+    """A response whose body the test delivers, over a transport like an Agent's."""
 
     def __init__(self):
         self.transport = FakeTransport()
 
     def deliverBody(self, reader):
-        """Take who reads it."""
+        """Connect the reader of the body."""
         self.reader = reader
         reader.makeConnection(_newclient.TransportProxyProducer(self.transport))
 
 
 class Bodies(unittest.TestCase):
-    """Bodies in simulated time."""
+    """Reading bodies in simulated time."""
 
     def setUp(self):
         self.reactor = task.Clock()
         self.response = FakeResponse()
-        self.given = []
+        self.results = []
         reading = httpbody.read_body(self.reactor, self.response, SILENCE_S)
-        reading.addBoth(self.given.append)
+        reading.addBoth(self.results.append)
 
     def send(self, *parts):
-        """Let parts come, each most of the longest pause after the other."""
+        """Deliver chunks at intervals of 0.8 times the longest pause."""
         for part in parts:
             self.reactor.advance(SILENCE_S * 0.8)
             self.response.reader.dataReceived(part)
@@ -53,42 +53,42 @@
         """End the body."""
         self.response.reader.connectionLost(failure.Failure(error))
 
-    def test_body_may_take_many_times_the_longest_pause(self):
+    def test_body_may_take_longer_than_the_longest_pause(self):
         self.send(b"a", b"b", b"c", b"d")
         self.end(client.ResponseDone())
-        self.assertEqual(self.given, [b"abcd"])
+        self.assertEqual(self.results, [b"abcd"])
         self.assertFalse(self.reactor.getDelayedCalls())
 
-    def test_body_that_stops_coming_is_given_up(self):
+    def test_body_that_stops_arriving_times_out(self):
         self.send(b"ab")
         self.reactor.advance(SILENCE_S * 1.1)
-        self.given[0].trap(httpbody.SilentBodyError)
-        self.assertIn("after 2 bytes", str(self.given[0].value))
+        self.results[0].trap(httpbody.SilentBodyError)
+        self.assertIn("after 2 bytes", str(self.results[0].value))
         self.end(client.ResponseFailed([]))
-        self.assertEqual(len(self.given), 1)
+        self.assertEqual(len(self.results), 1)
 
-    def test_connection_that_fell_silent_is_ended(self):
+    def test_silent_connection_is_closed(self):
         self.send(b"ab")
         self.reactor.advance(SILENCE_S * 1.1)
         self.assertTrue(self.response.transport.is_ended)
 
-    def test_body_that_trickles_for_ever_is_given_up(self):
+    def test_body_that_trickles_for_ever_times_out(self):
         parts = int(httpcalls.LONGEST_ANSWER_S / SILENCE_S / 0.8)
         self.send(*[b"a"] * parts)
-        self.assertEqual(self.given, [])
+        self.assertEqual(self.results, [])
         self.send(b"a")
-        self.given[0].trap(httpbody.SilentBodyError)
+        self.results[0].trap(httpbody.SilentBodyError)
         self.assertFalse(self.reactor.getDelayedCalls())
 
     def test_body_without_a_length_ends_with_its_connection(self):
         self.send(b"ab")
         self.end(http.PotentialDataLoss())
-        self.assertEqual(self.given, [b"ab"])
+        self.assertEqual(self.results, [b"ab"])
 
-    def test_cut_body_is_no_body(self):
+    def test_cut_off_body_fails(self):
         self.send(b"ab")
         self.end(client.ResponseFailed([]))
-        self.given[0].trap(client.ResponseFailed)
+        self.results[0].trap(client.ResponseFailed)
 
 
 if __name__ == "__main__":
--- a/thornport/kernel/httpcalls_test.py
+++ b/thornport/kernel/httpcalls_test.py
@@ -1,4 +1,4 @@
-"""When a call is given up: after its timeout, or while nothing of an answer comes."""
+"""Tests of timeouts, late answers and lost or silent connections."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class FakeTransport:
-    """A transport that takes what is written, until it is aborted."""
+    """A transport that records the last write and can be aborted."""
 
     def __init__(self, connection, reactor):
         self._connection = connection
@@ -21,23 +21,23 @@
         self.written = b""
 
     def setTcpNoDelay(self, enabled):
-        """Take the option."""
+        """Ignore the option."""
 
     def write(self, data):
-        """Take what is sent."""
+        """Record the data."""
         self.written = data
 
     def abortConnection(self):
-        """End the connection, in the next turn as Twisted does."""
+        """Report the connection as lost in the next turn, as Twisted does."""
         reason = failure.Failure(error.ConnectionAborted())
         self._reactor.callLater(0, self._connection.connectionLost, reason)
 
 
 class FakeReactor(task.Clock):
-    """Simulated time, and one connection that is opened by hand."""
+    """Simulated time, and connections that the test opens."""
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
-        """Note who wants a connection."""
+        """Record the factory and count the attempts."""
         self.factory = factory
         self.opened = getattr(self, "opened", 0) + 1
 
@@ -48,13 +48,13 @@
     def setUp(self):
         self.reactor = FakeReactor()
         self.calls = httpcalls.HttpCalls(self.reactor)
-        self.given = []
+        self.results = []
 
     def begin(self, body=b"", **timeouts):
         """Begin a call; returns the client's protocol."""
         timeouts = httpcalls.CallTimeouts(TIMEOUT_S, **timeouts)
         call = self.calls.call("10.0.0.1:80", "GET", "/", body, timeouts)
-        tasks.spawn(call, "call").addCallback(self.given.append)
+        tasks.spawn(call, "call").addCallback(self.results.append)
         connection = self.reactor.factory.buildProtocol(None)
         connection.makeConnection(FakeTransport(connection, self.reactor))
         self.reactor.advance(0)
@@ -62,153 +62,153 @@
 
 
 class Timeouts(Calls):
-    """When a call is given up."""
+    """When a call times out."""
 
     def send(self, connection, *parts):
-        """Let parts of an answer come, each most of a timeout after the other."""
+        """Deliver chunks of an answer at intervals of 0.8 times the timeout."""
         for part in parts:
             self.reactor.advance(TIMEOUT_S * 0.8)
-            if not self.given:
+            if not self.results:
                 connection.dataReceived(part)
 
     def test_answer_may_take_longer_than_the_timeout(self):
         connection = self.begin()
         self.send(connection, HEAD, b"ab", b"cd", b"ef")
-        self.assertEqual(self.given[0].unwrap().body, b"abcdef")
+        self.assertEqual(self.results[0].unwrap().body, b"abcdef")
         self.assertFalse(self.reactor.getDelayedCalls())
 
-    def test_answer_of_which_nothing_comes_is_given_up(self):
+    def test_call_without_an_answer_times_out(self):
         self.begin()
         self.reactor.advance(TIMEOUT_S * 1.1)
-        self.assertIn("0 bytes", self.given[0].failure().reason)
+        self.assertIn("0 bytes", self.results[0].failure().reason)
         self.reactor.advance(0)
         self.assertFalse(self.reactor.getDelayedCalls())
 
-    def test_answer_that_stops_coming_is_given_up(self):
+    def test_answer_that_stops_arriving_times_out(self):
         connection = self.begin(pause_s=TIMEOUT_S / 5)
         self.send(connection, HEAD)
         self.reactor.advance(TIMEOUT_S / 4)
-        reason = self.given[0].failure().reason
+        reason = self.results[0].failure().reason
         self.assertIn(f"{len(HEAD)} bytes", reason)
 
-    def test_answer_that_trickles_for_ever_is_given_up(self):
+    def test_answer_that_trickles_for_ever_times_out(self):
         connection = self.begin()
         connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
         parts = [b"a"] * int(httpcalls.LONGEST_ANSWER_S / TIMEOUT_S / 0.8)
         self.send(connection, *parts)
-        self.assertEqual(self.given, [])
+        self.assertEqual(self.results, [])
         self.send(connection, b"a")
-        self.assertIsInstance(self.given[0], result.Failure)
+        self.assertIsInstance(self.results[0], result.Failure)
 
     def test_caller_may_bound_the_whole_answer(self):
         connection = self.begin(whole_s=TIMEOUT_S)
         self.send(connection, HEAD, b"ab", b"cd", b"ef")
-        self.assertIsInstance(self.given[0], result.Failure)
+        self.assertIsInstance(self.results[0], result.Failure)
 
     def test_large_request_has_time_to_be_sent(self):
         connection = self.begin(body=b"x" * httpcalls.SLOWEST_BYTES_PER_S)
         self.reactor.advance(1.0 + TIMEOUT_S * 0.9)
         connection.dataReceived(HEAD + b"abcdef")
-        self.assertEqual(self.given[0].unwrap().status, 200)
+        self.assertEqual(self.results[0].unwrap().status, 200)
 
 
 class LateAnswers(Calls):
-    """Calls that were given up and are answered after all."""
+    """Answers that arrive after their call timed out."""
 
     LATE_S = 10.0
 
     def begin_late(self):
-        """Begin a call that is given up."""
+        """Begin a call and let it time out."""
         connection = self.begin(late_s=self.LATE_S)
         self.reactor.advance(TIMEOUT_S * 1.1)
-        self.assertIsInstance(self.given[-1], result.Failure)
+        self.assertIsInstance(self.results[-1], result.Failure)
         self.reactor.advance(0)
         return connection
 
-    # Each retry at an overloaded server cost it a new connection.
-    def test_connection_is_used_again(self):
+    # Without reuse, each retry cost an overloaded server a new connection.
+    def test_connection_is_reused_after_its_late_answer(self):
         connection = self.begin_late()
         connection.dataReceived(HEAD + b"abcdef")
         call = self.calls.call("10.0.0.1:80", "GET", "/")
-        tasks.spawn(call, "call").addCallback(self.given.append)
+        tasks.spawn(call, "call").addCallback(self.results.append)
         connection.dataReceived(HEAD + b"ghijkl")
-        self.assertEqual(self.given[-1].unwrap().body, b"ghijkl")
+        self.assertEqual(self.results[-1].unwrap().body, b"ghijkl")
         self.assertEqual(self.reactor.opened, 1)
 
-    def test_connection_without_one_is_ended(self):
+    def test_connection_without_a_late_answer_is_closed(self):
         connection = self.begin_late()
         self.reactor.advance(self.LATE_S)
         self.reactor.advance(0)
         self.assertFalse(connection.is_open)
         self.assertFalse(self.reactor.getDelayedCalls())
 
-    def test_answer_that_has_stopped_coming_is_not_awaited(self):
+    def test_connection_whose_answer_stopped_is_not_left_open(self):
         connection = self.begin(late_s=self.LATE_S)
         connection.dataReceived(HEAD)
         self.reactor.advance(TIMEOUT_S * 1.1)
         self.reactor.advance(0)
         self.assertFalse(connection.is_open)
 
-    def test_long_answer_is_ended(self):
+    def test_long_late_answer_is_cut_off(self):
         connection = self.begin_late()
         connection.dataReceived(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n")
         connection.dataReceived(b"a" * httpcalls.MAX_LATE_BYTES)
         self.reactor.advance(0)
         self.assertFalse(connection.is_open)
 
-    def test_few_connections_are_left_open(self):
+    def test_number_of_connections_left_open_is_bounded(self):
         connections = [self.begin_late() for _ in range(httpcalls.MAX_LATE + 1)]
         self.assertEqual([c.is_open for c in connections].count(False), 1)
 
 
-class BrokenOff(Calls):
-    """Whether a connection ended before its call's time was over."""
+class LostConnections(Calls):
+    """Whether a failed call lost its connection or timed out."""
 
-    def test_server_ends_the_connection(self):
+    def test_connection_closed_by_the_server_is_broken_off(self):
         connection = self.begin()
         connection.connectionLost(failure.Failure(error.ConnectionDone()))
-        self.assertTrue(self.given[0].failure().is_broken_off)
+        self.assertTrue(self.results[0].failure().is_broken_off)
 
-    def test_time_is_over(self):
+    def test_timeout_is_not_broken_off(self):
         self.begin()
         self.reactor.advance(TIMEOUT_S * 1.1)
-        self.assertFalse(self.given[0].failure().is_broken_off)
+        self.assertFalse(self.results[0].failure().is_broken_off)
 
 
-class Silence(Calls):
-    """Kept connections that fall silent without a reset."""
+class SilentConnections(Calls):
+    """Idle connections that fall silent without a reset."""
 
     def answer(self, connection):
-        """Let a whole answer come."""
+        """Deliver a complete answer."""
         connection.dataReceived(HEAD + b"abcdef")
 
-    def call_kept(self):
-        """Begin a call that finds a kept connection."""
+    def call_idle(self):
+        """Begin a call that finds an idle connection."""
         call = self.calls.call(
             "10.0.0.1:80", "GET", "/", timeouts=httpcalls.CallTimeouts(TIMEOUT_S)
         )
-        tasks.spawn(call, "call").addCallback(self.given.append)
+        tasks.spawn(call, "call").addCallback(self.results.append)
 
-    def test_one_time_out_ends_the_other_idle_connections(self):
+    def test_one_timeout_closes_the_other_idle_connections(self):
         connections = [self.begin() for _ in range(3)]
         for connection in connections:
             self.answer(connection)
         self.reactor.advance(1.0)
-        self.call_kept()
+        self.call_idle()
         self.reactor.advance(TIMEOUT_S * 1.1)
-        self.assertIsInstance(self.given[-1], result.Failure)
+        self.assertIsInstance(self.results[-1], result.Failure)
         self.reactor.advance(0)
         self.assertFalse(any(connection.is_open for connection in connections))
         self.answer(self.begin())
-        self.assertEqual(self.given[-1].unwrap().status, 200)
+        self.assertEqual(self.results[-1].unwrap().status, 200)
 
     def test_connection_that_answered_meanwhile_is_kept(self):
         connections = [self.begin() for _ in range(2)]
         for connection in connections:
             self.answer(connection)
         self.reactor.advance(1.0)
-        self.call_kept()
-        self.call_kept()
+        self.call_idle()
+        self.call_idle()
         self.answer(connections[0])
         self.reactor.advance(TIMEOUT_S * 1.1)
         self.reactor.advance(0)
--- a/thornport/kernel/logs_test.py
+++ b/thornport/kernel/logs_test.py
@@ -1,4 +1,4 @@
-"""Lines of events and their bound."""
+"""Tests of the format and the rate limit of log lines."""
 
 import contextlib
 import io
@@ -8,8 +8,8 @@
 from thornport.kernel import logs
 
 
-class LineBound(unittest.TestCase):
-    """An event that comes too often."""
+class LineLimit(unittest.TestCase):
+    """The rate limit of an event, and the format of its lines."""
 
     def write(self, count, timestamp=5.0, name="run-start"):
         """Write an event many times."""
@@ -21,7 +21,7 @@
         self.stream = io.StringIO()
         self.destination = logs.LineDestination(self.stream)
 
-    def test_lines_beyond_the_bound_are_counted_and_told(self):
+    def test_lines_beyond_the_limit_are_counted_and_reported(self):
         self.write(logs.MAX_LINES_PER_S + 7)
         self.write(1, name="config-in-force")
         self.write(1, timestamp=6.0)
@@ -35,9 +35,9 @@
 
 
 class SlowReader(unittest.TestCase):
-    """Nobody reads the lines."""
+    """A stream whose reader falls behind."""
 
-    def test_writes_do_not_wait_and_drops_are_told(self):
+    def test_writes_do_not_block_and_dropped_lines_are_reported(self):
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
--- a/thornport/kernel/looplag_test.py
+++ b/thornport/kernel/looplag_test.py
@@ -1,4 +1,4 @@
-"""The lateness of timers, by a clock that is set."""
+"""Tests of the measured reactor lag, in simulated time."""
 
 import unittest
 from unittest import mock
@@ -9,7 +9,7 @@
 
 
 class Lag(unittest.TestCase):
-    """What a reactor with and without too much work shows."""
+    """The lag of a reactor with and without overload."""
 
     def setUp(self):
         self.reactor = task.Clock()
@@ -17,15 +17,15 @@
         self.meter.start()
 
     def run_reactor(self, step_s, count):
-        """Let the reactor come to its timers once in a while."""
+        """Run the timers of the reactor once every step."""
         for _ in range(count):
             self.reactor.advance(step_s)
 
-    def test_reactor_that_keeps_up_has_none(self):
+    def test_reactor_that_keeps_up_has_no_lag(self):
         self.run_reactor(looplag.SAMPLE_PERIOD_S, looplag.SAMPLES)
         self.assertAlmostEqual(self.meter.read_s(), 0.0)
 
-    def test_work_of_a_quarter_of_a_second_each_time_shows(self):
+    def test_steps_of_a_quarter_second_show_as_lag(self):
         self.run_reactor(0.25, looplag.SAMPLES)
         self.assertAlmostEqual(self.meter.read_s(), 0.2)
 
@@ -34,7 +34,7 @@
         self.run_reactor(0.25, 1)
         self.assertAlmostEqual(self.meter.read_s(), 0.01)
 
-    def test_nothing_is_told_before_a_second_is_measured(self):
+    def test_lag_is_zero_before_a_second_is_measured(self):
         self.run_reactor(0.25, looplag.SAMPLES - 1)
         self.assertEqual(self.meter.read_s(), 0.0)
 
@@ -51,9 +51,9 @@
             reactor.advance(looplag.SAMPLE_PERIOD_S + 0.26)
             logged.assert_called_once()
         self.assertEqual(logged.call_args.args, ("loop-stalled",))
-        told = logged.call_args.kwargs
-        self.assertAlmostEqual(told["late_ms"], 260, delta=1)
-        self.assertAlmostEqual(told["worked_ms"], 30, delta=1)
+        fields = logged.call_args.kwargs
+        self.assertAlmostEqual(fields["late_ms"], 260, delta=1)
+        self.assertAlmostEqual(fields["worked_ms"], 30, delta=1)
 
 
 if __name__ == "__main__":
--- a/thornport/kernel/tasks_test.py
+++ b/thornport/kernel/tasks_test.py
@@ -1,4 +1,4 @@
-"""Waiting with a timer: it ends the wait, and is gone once the wait is over."""
+"""Tests of waits with a timer, and of long work in parts."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class WaitTimed(unittest.TestCase):
-    """The wait and its timer, in simulated time."""
+    """A wait ends by its timer, which is cancelled if the wait ends first."""
 
     def setUp(self):
         self.reactor = task.Clock()
@@ -16,18 +16,18 @@
         wait = tasks.wait_timed(
             self.reactor, self.waiting, 2.0, lambda: self.waiting.callback("timer")
         )
-        self.given = []
-        tasks.spawn(wait, "wait").addCallback(self.given.append)
+        self.results = []
+        tasks.spawn(wait, "wait").addCallback(self.results.append)
 
     def test_timer_ends_the_wait(self):
         self.reactor.advance(1.9)
-        self.assertEqual(self.given, [])
+        self.assertEqual(self.results, [])
         self.reactor.advance(0.2)
-        self.assertEqual(self.given, ["timer"])
+        self.assertEqual(self.results, ["timer"])
 
     def test_timer_is_cancelled_when_the_wait_is_over(self):
         self.waiting.callback("answer")
-        self.assertEqual(self.given, ["answer"])
+        self.assertEqual(self.results, ["answer"])
         self.assertFalse(self.reactor.getDelayedCalls())
 
     def test_timer_is_cancelled_when_the_wait_fails(self):
@@ -36,9 +36,9 @@
 
 
 class ActInParts(unittest.TestCase):
-    """Much work, with other work between its parts."""
+    """Long work that yields to the reactor between its parts."""
 
-    def test_all_is_done_in_order_and_others_come_between(self):
+    def test_parts_are_processed_in_order_with_turns_of_the_reactor_between(self):
         reactor = task.Clock()
         parts = []
         items = list(range(2 * tasks.PART_ITEMS + 1))
