--- a/thornport/cell/decisions/advising.py
+++ b/thornport/cell/decisions/advising.py
@@ -5,8 +5,8 @@
 calls and the others the short ones. While long calls wait for steps that have room,
 processes of the short half help as long as more than half of them stay idle: after a
 loss of power all steps ask at once, and short calls leave most of that half idle.
-A process is assigned a call only when it can make it soon. Other calls wait in a queue,
-from which the next free process gets the first step by rank.
+A process is assigned a call only when it can make it soon. Other calls wait, and the
+next free process gets the one that `asking` orders first.
 
 A process whose calls fail is always free first and would attract most calls. It is
 excluded for a backoff that doubles with each further failure, unless most processes are
--- a/thornport/cell/decisions/batches.py
+++ b/thornport/cell/decisions/batches.py
@@ -23,7 +23,7 @@
 from thornport.jobs import record
 
 # A transaction has 32 entries: two are conditions and one is the head. A job that is
-# over takes two more: its own key is written, its progress removed.
+# over takes two of the rest: its own key is written, its progress removed.
 MAX_BATCH_JOBS = 14
 KEYS_PER_FORGOTTEN_JOB = 3  # its record, its cancel and its progress
 # How long a start waits for its next ticket: two of the longest calls for advice. Its
--- a/thornport/cell/decisions/eligibility.py
+++ b/thornport/cell/decisions/eligibility.py
@@ -19,7 +19,8 @@
     UNDESCRIBED: the store has no entry of the worker's current incarnation.
     SILENT: the last calls to the worker failed.
     SUSPECT: tasks failed or stalled on the worker.
-    DISTURBED: backfill and serving work may not share the worker.
+    DISTURBED: steps that fill leftover capacity and serving steps may not share the
+      worker.
     FULL: the worker has no room.
     TRIAL: a task that may crash the worker is on trial there.
     RESERVED: the worker's room is reserved for another step.
@@ -107,7 +108,8 @@
 def disturbs(step, worker):
     """Tell whether a step must not share a worker with what runs there.
 
-    Backfill work disturbs serving work on the same worker by unknown amounts.
+    Steps that fill leftover capacity disturb serving steps on the same worker by
+    unknown amounts.
 
     Args:
       step: A model.StepState.
--- a/thornport/cell/decisions/ending.py
+++ b/thornport/cell/decisions/ending.py
@@ -309,7 +309,7 @@
         return crashes.is_outage(loss, losses, rack_size, len(self.workers_by_id))
 
     def _take_blame(self, worker, blame, now):
-        """Add crash points to a task, unless its run has ended before the crash."""
+        """Add crash points to a task, unless its run is no longer the live one."""
         run = blame.run
         step = self._find_step(run.key)
         if not blame.points or step is None:
--- a/thornport/cell/decisions/incarnations.py
+++ b/thornport/cell/decisions/incarnations.py
@@ -25,7 +25,8 @@
 
 # The low bits of a fencing token count the incarnations that an owner has met; the high
 # bits are the owner's token. At 64 incarnations a day, the rate expected of all workers
-# in two years, they last one owner 1,000 days; 47 bits are left for the owner's token.
+# in two years, they last one owner 1,000 days; the 47 bits left for the owner's token
+# never run out.
 FENCE_BITS = 16
 
 
--- a/thornport/cell/decisions/model.py
+++ b/thornport/cell/decisions/model.py
@@ -402,8 +402,8 @@
       has_begun: Whether a start of any task has been decided.
       ended_at: A float, when its end was persisted; None before.
       arrived_at: A float, when this owner learned of it.
-      is_within_share: Whether its workspace had not exceeded its share when the job was
-        accepted; see `shares`.
+      is_within_share: Whether the job is owed, as its workspace had not exceeded its
+        weight when it was accepted; see `shares`.
       last_active_at: A float, when a run of it was last known to progress or, if later,
         when it was accepted, a time of it was due or its limit blocked it.
     """
--- a/thornport/cell/decisions/yielding_test.py
+++ b/thornport/cell/decisions/yielding_test.py
@@ -3,7 +3,7 @@
 Guards against starvation of gangs in a large deployment: with 270 workers of 64 cores
 at four fifths of load, gangs of 18-core tasks waited 8 s at the median of a simulated
 day. Jobs of 11-core tasks of 2.2 s, with some 10 s to spare, waited 0.5 s and ended 7 s
-early. Urgent jobs ran beside both.
+before they were due. Urgent jobs ran beside both.
 """
 
 import unittest
