--- a/thornport/kernel/daemons.py
+++ b/thornport/kernel/daemons.py
@@ -80,7 +80,7 @@
 
 
 def stop_on_term(reactor, daemon):
-    """Handle SIGTERM: stop the daemon, which finishes its work in flight, then exit.
+    """Handle SIGTERM: finish the work in flight, then stop the reactor.
 
     Args:
       reactor: Twisted's reactor.
--- a/thornport/kernel/httpcalls.py
+++ b/thornport/kernel/httpcalls.py
@@ -14,13 +14,14 @@
 from twisted.internet import defer, protocol
 from twisted.internet.error import ConnectionAborted, ConnectionRefusedError
 
-CONNECT_TIMEOUT_S = 1.0  # links have delays of milliseconds
-# The timeouts of a request are extended by its size at this rate. The smallest VMs have
-# links of 5 Mbit/s shared by several connections; a transaction that needs 0.8 s there
-# would otherwise time out and be sent again for ever.
+CONNECT_TIMEOUT_S = 1.0  # links have delays of milliseconds; a silent peer is cut off
+# The timeouts until an answer begins and ends are extended by the time that the request
+# takes at this rate. The smallest VMs have links of 5 Mbit/s shared by several
+# connections; a transaction that needs 0.8 s there would otherwise time out and be sent
+# again for ever.
 SLOWEST_BYTES_PER_S = 250_000
 # The limit of an answer whose bytes keep arriving. The store's largest answer, 1.4 MB,
-# takes 6 s at SLOWEST_BYTES_PER_S; this is five times as long.
+# takes 6 s at SLOWEST_BYTES_PER_S; one that takes five times as long is of no use.
 LONGEST_ANSWER_S = 30.0
 # Bounds of the connections to one address that are left open for late answers: their
 # number, and the bytes that each may receive. A longer late answer would use up the
@@ -302,7 +303,7 @@
           address: A str, `IP:PORT`.
           method, path: A str each; the path with its query.
           body: Bytes, JSON; empty for none.
-          patience: A CallTimeouts; None for DEFAULT_TIMEOUTS.
+          timeouts: A CallTimeouts; None for DEFAULT_TIMEOUTS.
           headers: An iterable of pairs of str.
           on_bytes: A callable, called whenever bytes of the answer arrive; None for
             none.
--- a/thornport/kernel/ids.py
+++ b/thornport/kernel/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers, and rendezvous hashing that spreads keys over members."""
+"""Identifiers, and stable rendezvous hashing that spreads keys over members."""
 
 import itertools
 import secrets
--- a/thornport/kernel/inifile.py
+++ b/thornport/kernel/inifile.py
@@ -1,7 +1,7 @@
 """Parses INI files and keeps the line number of every section and key.
 
 The parser is iniconfig, which stops at the first syntax error. The faulty line is
-blanked and the text parsed again, so that all syntax errors are reported.
+blanked and the text parsed again, so that up to MAX_SYNTAX_PROBLEMS are reported.
 """
 
 import difflib
