--- a/thornport/kernel/looplag.py
+++ b/thornport/kernel/looplag.py
@@ -50,7 +50,7 @@
         self._late_s.append(max(0.0, late_s))
 
     def read_s(self):
-        """Return the mean lag in seconds of the last SAMPLES; 0.0 with fewer samples."""
+        """Return the mean lag in seconds of the last SAMPLES; 0.0 with fewer."""
         if len(self._late_s) < SAMPLES:
             return 0.0
         return sum(self._late_s) / SAMPLES
