--- a/thornport/cell/dispatch/dispatching_test.py
+++ b/thornport/cell/dispatch/dispatching_test.py
@@ -31,7 +31,7 @@
 
     start = stop = hold
 
-    def has_looked(self, address):
+    def has_polled(self, address):
         """Every address counts as polled before."""
         return bool(address)
 
--- a/thornport/cell/dispatch/executing.py
+++ b/thornport/cell/dispatch/executing.py
@@ -137,7 +137,7 @@
 @make_call.register
 def hold(call: messages.HoldRequest, workers):
     """Poll a worker; any incarnation may answer the first poll of an address."""
-    if not workers.has_looked(call.address):
+    if not workers.has_polled(call.address):
         call = incarnations.trim_first_poll(call)
     return workers.hold(call)
 
--- a/thornport/platform/workers.py
+++ b/thornport/platform/workers.py
@@ -93,8 +93,8 @@
             order, "/-/run-stop", body, timeouts, workermessages.decode_done
         )
 
-    def has_looked(self, address):
-        """Whether the next call to a worker goes where a look was answered before.
+    def has_polled(self, address):
+        """Whether the next call to a worker uses a connection that answered a poll.
 
         Args:
           address: A str, `IP:PORT`.
