--- a/thornport/placement/__init__.py
+++ b/thornport/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs onto workers: what runs where, under which lease."""
+"""Placement of batch tasks on workers under leases."""
--- a/thornport/placement/__main__.py
+++ b/thornport/placement/__main__.py
@@ -6,7 +6,7 @@
 
 
 def main():
-    """Run the daemon, without the packages that it does not use."""
+    """Run the daemon without importing the TLS packages, which it does not use."""
     lean.leave_out_tls()
     from thornport.kernel import daemons
     from thornport.placement import daemon
--- a/thornport/placement/daemon.py
+++ b/thornport/placement/daemon.py
@@ -1,4 +1,4 @@
-"""The placer process: joins the pure placer to workers, store and operators."""
+"""The placer process: connects a Placer to workers, the store and operators."""
 
 import klein
 import msgspec
@@ -26,7 +26,7 @@
 
 
 class JobRecord(msgspec.Struct, frozen=True):
-    """What is kept of a job in the store."""
+    """The persisted record of a job."""
 
     state: str
 
@@ -35,7 +35,7 @@
     """One placer process."""
 
     def __init__(self, reactor, settings):
-        """Make the parts; nothing is opened yet.
+        """Create the components without opening sockets.
 
         Args:
           reactor: Twisted's reactor.
@@ -63,16 +63,19 @@
             reactor, settings, self._store, self._bus, self._in_force, RING_NAME
         )
         self._addresses = []
-        self._forget()
+        self._reset_placer()
 
-    def _forget(self):
-        """Know nothing: what another placer decided is not known here."""
+    def _reset_placer(self):
+        """Replace the placer by an empty one.
+
+        Another placer may decide in the meantime, which makes the old state stale.
+        """
         self._placer = placer.Placer(ids.make_incarnation())
         self._jobs_known = False
         self._may_place_at = None
 
     def start(self):
-        """Open the socket and start the periodic work."""
+        """Open the sockets and start the periodic tasks."""
         listen = self._settings.listen
         site = server.Site(self._make_app().resource())
         bound = self._reactor.listenTCP(listen.http_port, site, interface=listen.ip)
@@ -90,7 +93,7 @@
         self._read_vms()
 
     def stop(self):
-        """Stop. Runs go on under their leases until another placer adopts them.
+        """Leave the ring; runs continue under their leases until a placer adopts them.
 
         Returns:
           A Deferred that fires when done.
@@ -107,19 +110,19 @@
         else:
             self._node.take_have(message)
 
-    def _decides(self, now):
-        """Tell whether this placer is the one that decides.
+    def _is_deciding(self, now):
+        """Tell whether this process is the placer that decides.
 
-        It is the member that joined first, while it surely is a member. One
-        that begins to decide, or does so again, knows nothing of before.
+        That is the member that joined first, as long as it is a member for certain. A
+        process that stops deciding drops its state, so that it always starts empty.
         """
         members = self._node.ring.members
-        first = min(members, key=lambda m: m.joined_epoch, default=None)
+        oldest = min(members, key=lambda m: m.joined_epoch, default=None)
         me = self._node.guard.me.member_id
-        decides = bool(first) and first.member_id == me and self._node.may_act(now)
+        decides = bool(oldest) and oldest.member_id == me and self._node.may_act(now)
         if not decides and self._may_place_at is not None:
             logs.log("stop-deciding")
-            self._forget()
+            self._reset_placer()
         return decides
 
     def _make_app(self):
@@ -133,9 +136,9 @@
         return app
 
     def _read_vms(self):
-        return tasks.spawn(self._read_vms_now(), "read-vms")
+        return tasks.spawn(self._update_vms(), "read-vms")
 
-    async def _read_vms_now(self):
+    async def _update_vms(self):
         url = self._settings.platform.vms
         read = await vmlist.read_list(
             self._reactor, self._http, url, placer.COMMAND_TIMEOUT_S
@@ -147,58 +150,59 @@
         listed = vmlist.select_role(read.unwrap(), vmlist.Role.WORKER)
         self._addresses = sorted(listed)
 
-    async def _begin(self):
-        """Learn what has finished, and how long to wait for earlier commands."""
+    async def _start_deciding(self):
+        """Read which jobs have finished, and set when placing may start."""
         read = await self._store.list_prefix(JOBS_PREFIX)
         if isinstance(read, result.Failure):
             return
         names = (key.removeprefix(JOBS_PREFIX) for key in read.unwrap())
         self._placer.finished_jobs.update(names)
         value = self._node.guard.me.member_id.encode()
-        founded = await port.resolve_write(
+        claimed = await port.resolve_write(
             self._store, FIRST_PLACER_KEY, value, port.ABSENT_INDEX
         )
-        is_known = isinstance(founded, result.Success)
-        if not is_known and not port.is_failure(founded, port.Conflict):
+        is_first_placer = isinstance(claimed, result.Success)
+        if not is_first_placer and not port.is_failure(claimed, port.Conflict):
             return
-        # Only where no placer has ever decided is there nothing to wait for.
-        wait_s = 0.0 if is_known else placer.TAKEOVER_WAIT_S
+        # Commands of an earlier placer may still be on their way, unless this one is
+        # the first that ever decided.
+        wait_s = 0.0 if is_first_placer else placer.TAKEOVER_WAIT_S
         self._may_place_at = clock.read_monotonic() + wait_s
         self._jobs_known = True
         logs.log("begin-deciding", wait_s=wait_s)
 
     async def _read_reports(self):
-        if not self._decides(clock.read_monotonic()):
+        if not self._is_deciding(clock.read_monotonic()):
             return
         if not self._jobs_known:
-            await self._begin()
+            await self._start_deciding()
         if not self._jobs_known:
             return
         self._placer.take_config(self._in_force.config)
-        reading = [
+        pending = [
             tasks.spawn(self._read_report(address), "read-report")
             for address in self._addresses
         ]
-        await defer.gatherResults(reading)
+        await defer.gatherResults(pending)
         now = clock.read_monotonic()
-        if not self._decides(now):
+        if not self._is_deciding(now):
             return
         self._placer.end_lapsed_runs(now)
         if now >= self._may_place_at:
             self._carry_out(self._placer.place(now))
 
     async def _read_report(self, address):
-        deciding = self._placer
+        polled_placer = self._placer
         read = await self._workers.read_report(address)
         now = clock.read_monotonic()
-        if isinstance(read, result.Failure) or deciding is not self._placer:
+        if isinstance(read, result.Failure) or polled_placer is not self._placer:
             return
-        if self._decides(now):
+        if self._is_deciding(now):
             self._carry_out(self._placer.take_report(address, read.unwrap(), now))
 
     def _renew(self):
         now = clock.read_monotonic()
-        if self._decides(now) and self._jobs_known:
+        if self._is_deciding(now) and self._jobs_known:
             self._carry_out(self._placer.renew(now))
 
     def _carry_out(self, commands):
--- a/thornport/placement/model.py
+++ b/thornport/placement/model.py
@@ -1,7 +1,7 @@
-"""The data of placement: needs, workers, runs and tasks.
+"""Data types of placement: resources, workers, runs and tasks.
 
-A task is what a job declares; a run is one attempt of it on one worker, under
-a lease. A task never has two runs whose leases may both be live.
+A job declares tasks; a run is one attempt of a task on one worker, under a lease.
+A task never has two runs whose leases may both be live.
 """
 
 import enum
@@ -10,14 +10,14 @@
 
 
 class Resources(msgspec.Struct, frozen=True):
-    """Processors, memory and accelerators, of a task or of a worker."""
+    """Cores, memory and accelerators that a task requires or a worker has."""
 
     cores: float
     memory_mb: int
     accelerators: int
 
     def add(self, other):
-        """Add, giving a new Needs."""
+        """Return the sum as new Resources."""
         return Resources(
             self.cores + other.cores,
             self.memory_mb + other.memory_mb,
@@ -25,24 +25,24 @@
         )
 
     def subtract(self, other):
-        """Subtract, giving a new Needs."""
+        """Return the difference as new Resources."""
         return Resources(
             self.cores - other.cores,
             self.memory_mb - other.memory_mb,
             self.accelerators - other.accelerators,
         )
 
-    def fits(self, room):
-        """Tell whether this fits into some room, all resources at once."""
+    def fits(self, available):
+        """Tell whether every resource fits into what is available."""
         return (
-            self.cores <= room.cores
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cores <= available.cores
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
 
 class RunState(enum.Enum):
-    """The states of a run, as workers report them."""
+    """States of a run, as workers report them."""
 
     STARTING = "starting"
     RUNNING = "running"
@@ -56,7 +56,7 @@
 
 
 class RunReport(msgspec.Struct, frozen=True):
-    """What a worker says of one run."""
+    """A worker's report on one run."""
 
     run_id: str
     task_id: str
@@ -68,7 +68,7 @@
 
 
 class WorkerReport(msgspec.Struct, frozen=True):
-    """What a worker says of itself."""
+    """A worker's report on itself and its runs."""
 
     incarnation: str
     cores: float
@@ -83,8 +83,9 @@
     """One attempt of a task on a worker.
 
     Attributes:
-      lease_deadline: A float on this process's clock, no earlier than the
-        worker's own; the run may be live until then.
+      lease_deadline: When the lease has ended for certain, on this process's
+        monotonic clock; never before it ends at the worker. The run may be live
+        until then.
     """
 
     run_id: str
@@ -96,11 +97,12 @@
 
 
 class Worker(msgspec.Struct, eq=False):
-    """A worker as this placer knows it.
+    """A worker as known to this placer.
 
     Attributes:
-      free: Needs, what is left beside the runs that may be live.
-      live_run_ids: A set of str, the ids of those runs.
+      reported_at: When its last report arrived, on the monotonic clock.
+      free: The resources not reserved by runs that may be live.
+      live_run_ids: The ids of the runs that may be live.
     """
 
     address: str
@@ -114,7 +116,7 @@
 
 
 class TaskState(enum.Enum):
-    """The states of a task."""
+    """States of a task."""
 
     PENDING = "pending"
     PLACED = "placed"
@@ -125,8 +127,8 @@
     """One task of a job.
 
     Attributes:
-      run_id: A str, the run it has now; empty if none.
-      attempts: An int, runs so far.
+      run_id: The id of its current run; empty if it has none.
+      attempts: How many runs of it this placer has started.
     """
 
     task_id: str
@@ -140,7 +142,7 @@
 
 
 class StartRun(msgspec.Struct, frozen=True):
-    """Tell a worker to start a run."""
+    """Command to a worker: start a run."""
 
     worker: str
     task_id: str
@@ -151,7 +153,7 @@
 
 
 class RenewLeases(msgspec.Struct, frozen=True):
-    """Tell a worker to renew the leases of its runs."""
+    """Command to a worker: renew the leases of runs."""
 
     worker: str
     run_ids: list[str]
@@ -159,13 +161,13 @@
 
 
 class StopRun(msgspec.Struct, frozen=True):
-    """Tell a worker to stop a run."""
+    """Command to a worker: stop a run."""
 
     worker: str
     run_id: str
 
 
 class JobFinished(msgspec.Struct, frozen=True):
-    """Every task of a job has finished; to be kept in the store."""
+    """Every task of a job has finished, which has to be persisted in the store."""
 
     job_name: str
--- a/thornport/placement/placer.py
+++ b/thornport/placement/placer.py
@@ -1,4 +1,4 @@
-"""The decisions of one placer, pure: reports and time in, commands out."""
+"""The decisions of a placer, without I/O: takes reports and times, returns commands."""
 
 import heapq
 
@@ -11,51 +11,51 @@
 RENEW_PERIOD_S = 1.0
 COMMAND_TIMEOUT_S = 2.0
 
-# A worker that has not reported for so long gets no renewals: its runs are
-# left to lapse, so that their tasks can start elsewhere.
+# A worker that has not reported for this long gets no renewals. The leases of its
+# runs lapse, so that their tasks can start elsewhere.
 SILENCE_S = 2.0
 
-# A command sent just before this process lost the right to decide reaches
-# its worker within the command's time, and the lease it grants ends then.
+# A command sent just before a placer loses the right to decide reaches its worker
+# within COMMAND_TIMEOUT_S, and the lease that it grants ends LEASE_MS later.
 TAKEOVER_WAIT_S = (LEASE_MS / 1000 + COMMAND_TIMEOUT_S) * clock.CLOCK_RATE_MARGIN
 
 
 class Placer:
-    """What is known of workers, runs and tasks, and what to do next.
+    """Tracks workers, runs and tasks, and decides on commands to workers.
 
     Attributes:
       workers_by_address, runs_by_id, tasks_by_id: The state, by key.
-      finished_jobs: A set of names of jobs that are done.
+      finished_jobs: The names of jobs whose tasks have all finished.
     """
 
     def __init__(self, incarnation):
-        """Start knowing nothing.
+        """Create a placer that knows no workers, runs or tasks.
 
         Args:
-          incarnation: A str, part of every run id made here.
+          incarnation: A str, the prefix of the ids of the runs that it starts.
         """
         self._incarnation = incarnation
         self._next_run = 0
         self._queue = []
-        self._left_by_job = {}
-        self._room = sortedcontainers.SortedKeyList(key=order_by_free)
+        self._unfinished_by_job = {}
+        self._workers_by_free = sortedcontainers.SortedKeyList(key=order_by_free)
         self.workers_by_address = {}
         self.runs_by_id = {}
         self.tasks_by_id = {}
         self.finished_jobs = set()
 
     def take_config(self, config):
-        """Take the jobs of a revision; new ones are queued.
+        """Queue the tasks of the jobs that are new in the settings.
 
         Args:
           config: A compiling.Config.
         """
         for name, job in config.jobs_by_name.items():
-            if name in self._left_by_job or name in self.finished_jobs:
+            if name in self._unfinished_by_job or name in self.finished_jobs:
                 continue
             price = config.tiers_by_name[job.tier].price
             needs = model.Resources(job.cores, job.memory_mb, job.accelerators)
-            self._left_by_job[name] = job.tasks
+            self._unfinished_by_job[name] = job.tasks
             for number in range(job.tasks):
                 task_id = f"{name}/{number}"
                 task = model.Task(task_id, name, price, needs, job.run_ms)
@@ -63,10 +63,10 @@
                 self._enqueue(task)
 
     def take_report(self, address, report, now):
-        """Take what a worker says of itself.
+        """Update the state from the report of a worker.
 
         Args:
-          address: A str, the worker.
+          address: A str, the address of the worker.
           report: A model.WorkerReport.
           now: A float on the monotonic clock.
         Returns:
@@ -79,22 +79,22 @@
                 address, report.incarnation, report.rack, report.hall, total, now, total
             )
             self.workers_by_address[address] = worker
-            self._room.add(worker)
+            self._workers_by_free.add(worker)
         if worker.total != total:
             gained = total.subtract(worker.total)
-            self._change_free(worker, worker.free.add(gained))
+            self._set_free(worker, worker.free.add(gained))
             worker.total = total
         worker.reported_at = now
         commands = []
         if worker.incarnation != report.incarnation:
-            commands += self._end_former_runs(worker)
+            commands += self._end_runs_of_old_incarnation(worker)
             worker.incarnation = report.incarnation
         for run_report in report.runs:
             commands += self._take_run_report(worker, run_report, now)
         return commands
 
-    def _end_former_runs(self, worker):
-        """End the runs of a worker's earlier life: they died with it."""
+    def _end_runs_of_old_incarnation(self, worker):
+        """End the runs of a worker's earlier incarnation, which ended with it."""
         commands = []
         for run_id in list(worker.live_run_ids):
             run = self.runs_by_id[run_id]
@@ -110,7 +110,7 @@
         return self._end_run(run, report.state)
 
     def _adopt(self, worker, report, now):
-        """Take over a run that an earlier placer started."""
+        """Adopt a run that an earlier placer started."""
         task = self.tasks_by_id.get(report.task_id)
         if report.state is model.RunState.FINISHED:
             return self._adopt_finished(task)
@@ -125,10 +125,10 @@
             model.RunState.RUNNING,
             compute_lease_deadline(now),
         )
-        self._hold(worker, run)
+        self._reserve(worker, run)
         if task is None or task.state is not model.TaskState.PENDING:
-            # The task is done, or runs elsewhere, or was taken out: this run
-            # is one too many.
+            # The task has finished, has another run, or is not known to this
+            # placer: this run is surplus.
             return [model.StopRun(worker.address, run.run_id)]
         task.state = model.TaskState.PLACED
         task.run_id = run.run_id
@@ -140,25 +140,25 @@
         task.state = model.TaskState.FINISHED
         return self._count_finished(task)
 
-    def _change_free(self, worker, free):
-        """Change what a worker has left, and where it stands in the order."""
-        self._room.remove(worker)
+    def _set_free(self, worker, free):
+        """Set the free resources of a worker and keep the workers sorted."""
+        self._workers_by_free.remove(worker)
         worker.free = free
-        self._room.add(worker)
+        self._workers_by_free.add(worker)
 
-    def _hold(self, worker, run):
+    def _reserve(self, worker, run):
         self.runs_by_id[run.run_id] = run
         worker.live_run_ids.add(run.run_id)
-        self._change_free(worker, worker.free.subtract(run.needs))
+        self._set_free(worker, worker.free.subtract(run.needs))
 
     def _end_run(self, run, state):
-        """Free what a run held and decide about its task."""
+        """Release the resources of a run, and queue its task again or finish it."""
         if run.state not in model.LIVE_STATES:
             return []
         run.state = state
         worker = self.workers_by_address[run.worker]
         worker.live_run_ids.discard(run.run_id)
-        self._change_free(worker, worker.free.add(run.needs))
+        self._set_free(worker, worker.free.add(run.needs))
         task = self.tasks_by_id.get(run.task_id)
         if task is None or task.run_id != run.run_id:
             return []
@@ -171,8 +171,8 @@
         return self._count_finished(task)
 
     def _count_finished(self, task):
-        self._left_by_job[task.job_name] -= 1
-        if self._left_by_job[task.job_name]:
+        self._unfinished_by_job[task.job_name] -= 1
+        if self._unfinished_by_job[task.job_name]:
             return []
         self.finished_jobs.add(task.job_name)
         return [model.JobFinished(task.job_name)]
@@ -181,7 +181,7 @@
         heapq.heappush(self._queue, (-task.price, task.task_id))
 
     def end_lapsed_runs(self, now):
-        """End the runs whose leases have surely lapsed at their workers.
+        """End the runs whose leases have lapsed at their workers for certain.
 
         Args:
           now: A float on the monotonic clock.
@@ -191,7 +191,7 @@
                 self._end_run(run, model.RunState.LAPSED)
 
     def place(self, now):
-        """Place what waits, the dearest first.
+        """Place pending tasks, highest price first.
 
         Args:
           now: A float on the monotonic clock.
@@ -215,9 +215,11 @@
         return commands
 
     def _choose_worker(self, needs, now):
-        """Choose the reporting worker with the fewest processors left that
-        has room: workers stand in that order, so few are looked at."""
-        for worker in self._room.irange_key((needs.cores,)):
+        """Choose the worker with the fewest free cores that fits and still reports.
+
+        Workers are sorted by free cores, so only few are examined.
+        """
+        for worker in self._workers_by_free.irange_key((needs.cores,)):
             is_heard = now < worker.reported_at + SILENCE_S
             if is_heard and needs.fits(worker.free):
                 return worker
@@ -235,7 +237,7 @@
             model.RunState.STARTING,
             compute_lease_deadline(now),
         )
-        self._hold(worker, run)
+        self._reserve(worker, run)
         task.state = model.TaskState.PLACED
         task.run_id = run_id
         return model.StartRun(
@@ -243,7 +245,7 @@
         )
 
     def renew(self, now):
-        """Renew the lease of every live run on a worker that reports.
+        """Renew the lease of every live run on workers that still report.
 
         Args:
           now: A float on the monotonic clock.
@@ -264,8 +266,10 @@
 
 
 def compute_lease_deadline(now):
-    """Find when a run whose start is sent now has surely lapsed, if nothing
-    more is heard of it: the command may take its whole time to arrive.
+    """Compute when a lease granted or renewed by a command sent now ends at the latest.
+
+    The command may take all of COMMAND_TIMEOUT_S to arrive. A report may end the run
+    earlier.
 
     Args:
       now: A float on the monotonic clock.
@@ -276,11 +280,11 @@
 
 
 def order_by_free(worker):
-    """Give the key that sorts workers by what they have left.
+    """Return the key that sorts workers by their free resources.
 
     Args:
       worker: A model.Worker.
     Returns:
-      A tuple; the address keeps the order the same in each run.
+      A tuple; the address makes the order deterministic.
     """
     return worker.free.cores, worker.free.memory_mb, worker.address
--- a/thornport/placement/placer_test.py
+++ b/thornport/placement/placer_test.py
@@ -1,7 +1,7 @@
-"""Property: no worker over its size, no task live in two places.
+"""Property tests: no worker is overcommitted, and no task has two live runs.
 
-Real placers, one after another, drive model workers whose leases lapse by
-themselves, through commands and reports that are late, lost or repeated.
+Successive placers control simulated workers, which end runs themselves when a lease
+lapses. Commands are delayed, lost or repeated, and reports are lost.
 """
 
 import random
@@ -21,7 +21,7 @@
 
 
 def make_config(jobs):
-    """Make settings with jobs of some shapes."""
+    """Make settings with jobs of the given numbers of tasks, cores and run times."""
     declared = {
         f"j{n}": schema.Job("t", "p", tasks=tasks, cores=cores, run_ms=run_ms)
         for n, (tasks, cores, run_ms) in enumerate(jobs)
@@ -29,8 +29,8 @@
     return compiling.Config(1, {"t": schema.Tier(1)}, {}, {}, declared)
 
 
-class ModelWorker:
-    """A worker that keeps to its leases."""
+class SimulatedWorker:
+    """A worker that ends a run when its lease lapses."""
 
     def __init__(self, address):
         self.address = address
@@ -79,45 +79,45 @@
 
 
 class Model:
-    """Workers, the placer of the moment, and commands on their way."""
+    """Simulated workers, the current placer, and commands not delivered yet."""
 
     def __init__(self, choices, jobs):
         self.choices = choices
         self.config = make_config(jobs)
         self.now = 100.0
-        self.workers = {address: ModelWorker(address) for address in WORKERS}
-        self.flying = []
-        self.cut_until = {}
-        self.lives = 0
-        self.done_jobs = set()
+        self.workers = {address: SimulatedWorker(address) for address in WORKERS}
+        self.undelivered = []
+        self.partitioned_until = {}
+        self.placers_started = 0
+        self.persisted_jobs = set()
         self.may_place_at = 0.0
         self.start_placer()
 
     def start_placer(self):
-        """Start another placer, which waits before it places."""
-        self.placer = placer.Placer(f"life{self.lives}")
-        self.placer.finished_jobs = set(self.done_jobs)
-        if self.lives:
+        """Replace the placer; all but the first wait before they place."""
+        self.placer = placer.Placer(f"placer{self.placers_started}")
+        self.placer.finished_jobs = set(self.persisted_jobs)
+        if self.placers_started:
             self.may_place_at = self.now + placer.TAKEOVER_WAIT_S
-        self.lives += 1
+        self.placers_started += 1
 
-    def is_cut(self, address):
-        return self.cut_until.get(address, 0.0) > self.now
+    def is_partitioned(self, address):
+        return self.partitioned_until.get(address, 0.0) > self.now
 
     def carry_out(self, commands):
         for command in commands:
             if isinstance(command, model.JobFinished):
-                self.done_jobs.add(command.job_name)
+                self.persisted_jobs.add(command.job_name)
                 continue
             for _ in range(self.choices.choice((0, 1, 1, 1, 2))):
                 delay = self.choices.choice((0.0, 0.3, placer.COMMAND_TIMEOUT_S))
-                self.flying.append((self.now + delay, command))
+                self.undelivered.append((self.now + delay, command))
 
     def deliver(self):
-        due = [c for c in self.flying if c[0] <= self.now]
-        self.flying = [c for c in self.flying if c[0] > self.now]
+        due = [c for c in self.undelivered if c[0] <= self.now]
+        self.undelivered = [c for c in self.undelivered if c[0] > self.now]
         for _, command in due:
-            if not self.is_cut(command.worker):
+            if not self.is_partitioned(command.worker):
                 self.workers[command.worker].take(command, self.now)
 
     def step(self):
@@ -126,14 +126,16 @@
             self.start_placer()
         if self.choices.random() < 0.05:
             address = self.choices.choice(WORKERS)
-            self.cut_until[address] = self.now + self.choices.choice((1.0, 12.0))
+            self.partitioned_until[address] = self.now + self.choices.choice(
+                (1.0, 12.0)
+            )
         self.deliver()
         for worker in self.workers.values():
             worker.tick(self.now)
         self.check()
         self.placer.take_config(self.config)
         for address, worker in self.workers.items():
-            if not self.is_cut(address) and self.choices.random() < 0.8:
+            if not self.is_partitioned(address) and self.choices.random() < 0.8:
                 report = worker.report(self.now)
                 self.carry_out(self.placer.take_report(address, report, self.now))
         self.placer.end_lapsed_runs(self.now)
@@ -152,7 +154,7 @@
 
 
 class Placement(unittest.TestCase):
-    """What must always hold, and that work ends."""
+    """Tests the limits of workers, single runs of tasks, completion and price order."""
 
     @hypothesis.settings(max_examples=60, derandomize=True, deadline=None)
     @hypothesis.given(
@@ -172,13 +174,13 @@
         for _ in range(300):
             model_cell.step()
 
-    def test_all_work_ends_though_placers_die(self):
+    def test_all_jobs_finish_despite_placer_restarts(self):
         model_cell = Model(random.Random(3), [(5, 3.0, 1000), (2, 8.0, 1000)])
         for _ in range(1000):
             model_cell.step()
-        self.assertEqual(model_cell.done_jobs, {"j0", "j1"})
+        self.assertEqual(model_cell.persisted_jobs, {"j0", "j1"})
 
-    def test_dearest_is_placed_first(self):
+    def test_highest_price_is_placed_first(self):
         tiers = {"low": schema.Tier(1), "high": schema.Tier(9)}
         jobs = {
             "cheap": schema.Job("low", "p", cores=8.0),
@@ -186,5 +188,5 @@
         }
         made = placer.Placer("x")
         made.take_config(compiling.Config(1, tiers, {}, {}, jobs))
-        made.take_report("w1", ModelWorker("w1").report(0.0), 0.0)
+        made.take_report("w1", SimulatedWorker("w1").report(0.0), 0.0)
         self.assertEqual([c.task_id for c in made.place(0.0)], ["dear/0"])
--- a/thornport/placement/views.py
+++ b/thornport/placement/views.py
@@ -1,21 +1,22 @@
-"""What operators are shown of the jobs of a placer: pure."""
+"""The view of a placer's jobs for operators, without I/O."""
 
 import msgspec
 
 
 class TaskView(msgspec.Struct, frozen=True):
-    """A task: its state as a word, and how often it was started."""
+    """The state of a task and how often the placer started it."""
 
     state: str
     attempts: int
 
 
 class JobView(msgspec.Struct, frozen=True):
-    """A job.
+    """The progress of a job.
 
     Attributes:
-      finished: Whether it is kept as finished.
-      tasks: TaskViews by task id; none of a job that an earlier placer finished.
+      finished: Whether all its tasks have finished.
+      tasks: TaskViews by task id; empty for a job that finished under an earlier
+        placer.
     """
 
     finished: bool
@@ -23,7 +24,7 @@
 
 
 def view_jobs(state):
-    """View every job.
+    """Build the view of every job.
 
     Args:
       state: A placer.Placer.
--- a/thornport/placement/views_test.py
+++ b/thornport/placement/views_test.py
@@ -1,4 +1,4 @@
-"""The view of a placer's jobs."""
+"""Tests of the view of a placer's jobs."""
 
 import unittest
 from unittest import mock
@@ -7,7 +7,7 @@
 
 
 class ViewJobs(unittest.TestCase):
-    """A finished job that nothing more is known of, and one that is placed."""
+    """A finished job without known tasks, and a job with a placed task."""
 
     def test_finished_and_placed_jobs_are_shown_by_name(self):
         state = mock.Mock(finished_jobs={"old"}, tasks_by_id={})
--- a/thornport/placement/workers.py
+++ b/thornport/placement/workers.py
@@ -1,4 +1,4 @@
-"""Workers over HTTP: commands out, reports in."""
+"""HTTP client for workers: sends commands and reads reports."""
 
 import functools
 
@@ -13,13 +13,13 @@
 
 
 class WorkerError(msgspec.Struct, frozen=True):
-    """A worker gave no answer to rely on; a command may have been done."""
+    """A call to a worker failed; a command may still have been executed."""
 
     reason: str
 
 
 class StartBody(msgspec.Struct):
-    """The body of a start, as workers take it."""
+    """The body of a start request, in the format of the workers."""
 
     run_id: str
     cores: float
@@ -30,31 +30,31 @@
 
 
 class RenewalBody(msgspec.Struct):
-    """The body of a renewal, as workers take it."""
+    """The body of a lease renewal request, in the format of the workers."""
 
     lease_ms: int
     run_ids: list[str]
 
 
 class WorkerClient:
-    """Calls workers by their addresses."""
+    """Sends HTTP requests to workers."""
 
     __slots__ = ("_reactor", "http", "timeout_s")
 
     def __init__(self, reactor, http, timeout_s):
-        """Take the HTTP client to use.
+        """Create a client.
 
         Args:
           reactor: Twisted's reactor.
           http: A treq HTTPClient.
-          timeout_s: A float, seconds until an answer, and the longest pause in it.
+          timeout_s: The longest wait for an answer, and the longest pause within it.
         """
         self._reactor = reactor
         self.http = http
         self.timeout_s = timeout_s
 
     async def read_report(self, address):
-        """Ask a worker for its report.
+        """Read the report of a worker.
 
         Args:
           address: A str, `IP:PORT`.
@@ -70,13 +70,13 @@
             return result.Failure(WorkerError(f"bad report: {error}"))
 
     async def call(self, method, url, body):
-        """Make one call.
+        """Send one request.
 
         Args:
           method, url: A str each.
           body: A struct or None.
         Returns:
-          A Result of bytes or WorkerError.
+          A Result of bytes (the body of the answer) or WorkerError.
         """
         data = msgspec.json.encode(body) if body is not None else None
         try:
@@ -85,8 +85,8 @@
             )
             content = await httpbody.read_body(self._reactor, response, self.timeout_s)
         except Exception as error:
-            # A command whose answer is lost may have been done; the next
-            # report tells.
+            # The worker may have executed a command whose answer is lost; its next
+            # report shows it.
             return result.Failure(WorkerError(str(error)))
         if response.code != HTTP_OK:
             return result.Failure(WorkerError(f"status {response.code}"))
@@ -95,7 +95,7 @@
 
 @functools.singledispatch
 def send_command(command, client):
-    """Carry out a command of the placer.
+    """Send a command of the placer to its worker.
 
     Args:
       command: One of the command types of model.
@@ -103,12 +103,12 @@
     Returns:
       An awaitable of a Result.
     """
-    raise TypeError(f"no way to send {command!r}")
+    raise TypeError(f"unsupported command: {command!r}")
 
 
 @send_command.register
 def send_start(command: model.StartRun, client):
-    """Start a run."""
+    """Send a start command."""
     body = StartBody(
         command.run_id,
         command.needs.cores,
@@ -122,13 +122,13 @@
 
 @send_command.register
 def send_renewal(command: model.RenewLeases, client):
-    """Renew leases."""
+    """Send a lease renewal."""
     body = RenewalBody(command.lease_ms, command.run_ids)
     return client.call("POST", f"http://{command.worker}/leases", body)
 
 
 @send_command.register
 def send_stop(command: model.StopRun, client):
-    """Stop a run."""
+    """Send a stop command."""
     url = f"http://{command.worker}/runs/{command.run_id}"
     return client.call("DELETE", url, None)
