--- a/thornport/entry/__init__.py
+++ b/thornport/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry daemon: callers and operators on one side, backend servers on the other."""
+"""The entry daemon: passes requests of callers to backend servers."""
--- a/thornport/entry/__main__.py
+++ b/thornport/entry/__main__.py
@@ -6,7 +6,7 @@
 
 
 def main():
-    """Run the daemon, without the packages that it does not use."""
+    """Run the daemon without loading packages that it does not use."""
     lean.leave_out_tls()
     from thornport.entry import daemon
     from thornport.kernel import daemons
--- a/thornport/entry/callers.py
+++ b/thornport/entry/callers.py
@@ -1,4 +1,4 @@
-"""The HTTP interface towards callers: requests in, whole answers out."""
+"""The HTTP interface for callers, which returns only complete answers."""
 
 import klein
 import msgspec
@@ -13,7 +13,7 @@
 REQUESTS_PATH = b"/v1/requests/"
 HTTP_NOT_ALLOWED = 405
 MAX_BODY_BYTES = 1_048_576
-IDLE_CONNECTION_S = 60  # as Twisted's sites have it; callers that vanished hold none
+IDLE_CONNECTION_S = 60  # the default of Twisted; closes connections of vanished callers
 PROBLEM_TYPE = "application/problem+json"
 
 STATUS_BY_REASON = {
@@ -28,7 +28,7 @@
 
 
 class ProblemBody(msgspec.Struct, omit_defaults=True):
-    """The body of a final answer that is no answer (RFC 9457)."""
+    """The problem details (RFC 9457) of a request without a backend's answer."""
 
     title: str
     status: int
@@ -38,10 +38,10 @@
 
 
 def make_app(front):
-    """Make the callers' interface.
+    """Make the HTTP application for all paths but those of requests.
 
     Args:
-      front: An object with `serve(request)`, giving an awaitable of Answer,
+      front: An object with `serve(request)`, which returns an awaitable of Answer,
         GivenUp or Refusal, `is_ready()` and `describe()`.
     Returns:
       A klein.Klein.
@@ -68,7 +68,7 @@
 
 
 class Root(resource.Resource):
-    """Requests straight to the front, everything else to klein.
+    """Passes requests directly to the front and everything else to klein.
 
     Requests are the hot path; klein's routing and its chain of Deferreds cost
     a fifth of an entry's processor time (docs/REQUESTS.md).
@@ -77,7 +77,7 @@
     isLeaf = True
 
     def __init__(self, front, rest):
-        """Take where things go.
+        """Create the resource.
 
         Args:
           front: As in make_app.
@@ -107,7 +107,7 @@
 
 
 class Caller:
-    """Whether the caller is still there."""
+    """Tracks whether the caller is still connected."""
 
     __slots__ = ("is_gone",)
 
@@ -125,7 +125,7 @@
 
 
 def finish(done, request, caller):
-    """Write the outcome of a request, if its caller is still there.
+    """Write the outcome of a request, if its caller is still connected.
 
     Args:
       done: An outcome.Answer or outcome.GivenUp.
@@ -160,7 +160,7 @@
 
 
 def write_given_up(request, given_up, status):
-    """Write the final answer to a request that has none.
+    """Write the final response to a request without an answer.
 
     Args:
       request: A twisted IRequest.
@@ -202,7 +202,7 @@
 
 
 class RequestIds:
-    """Makes ids for requests that bring no key of their own."""
+    """Makes ids, unique across entries, for requests without a key of their own."""
 
     __slots__ = ("_incarnation", "_next")
 
--- a/thornport/entry/contact.py
+++ b/thornport/entry/contact.py
@@ -1,33 +1,33 @@
-"""Whether an entry is cut off from the others."""
+"""Detects that an entry is cut off from the others."""
 
-# An entry that has held no slot for so long, though it is no home either, is
-# taken to be cut off from the others.
+# An entry that has been out of the ring and without slots for this long counts as cut
+# off from the others.
 CUT_OFF_S = 4.0
 
 
 class Contact:
-    """When this entry last had a part in the ring, or slots of one."""
+    """The time when this entry was last in the ring or held slots."""
 
-    __slots__ = ("_had_at",)
+    __slots__ = ("_noted_at",)
 
     def __init__(self):
-        """Begin cut off."""
-        self._had_at = None
+        """Start as cut off."""
+        self._noted_at = None
 
     def note(self, now):
-        """Note that this entry has a part in the ring, or slots of one.
+        """Record that this entry is in the ring or holds slots.
 
         Args:
           now: A float.
         """
-        self._had_at = now
+        self._noted_at = now
 
     def is_lost(self, now):
-        """Whether this entry is cut off.
+        """Return whether this entry is cut off.
 
         Args:
           now: A float.
         Returns:
           A bool.
         """
-        return self._had_at is None or now >= self._had_at + CUT_OFF_S
+        return self._noted_at is None or now >= self._noted_at + CUT_OFF_S
--- a/thornport/entry/contact_test.py
+++ b/thornport/entry/contact_test.py
@@ -1,4 +1,4 @@
-"""When an entry takes itself to be cut off."""
+"""Tests when an entry considers itself cut off."""
 
 import unittest
 
@@ -8,19 +8,19 @@
 
 
 class Contact(unittest.TestCase):
-    """An entry that has a part in the ring, and then has none."""
+    """An entry that is in the ring and then no longer is."""
 
-    def test_is_lost_until_there_was_any(self):
+    def test_is_lost_before_the_first_contact(self):
         self.assertTrue(contact.Contact().is_lost(NOW))
 
-    def test_is_lost_some_time_after_the_last(self):
-        had = contact.Contact()
-        had.note(NOW)
-        self.assertFalse(had.is_lost(NOW))
-        self.assertFalse(had.is_lost(NOW + contact.CUT_OFF_S - 0.01))
-        self.assertTrue(had.is_lost(NOW + contact.CUT_OFF_S))
-        had.note(NOW + contact.CUT_OFF_S)
-        self.assertFalse(had.is_lost(NOW + contact.CUT_OFF_S))
+    def test_is_lost_cut_off_s_after_the_last_contact(self):
+        link = contact.Contact()
+        link.note(NOW)
+        self.assertFalse(link.is_lost(NOW))
+        self.assertFalse(link.is_lost(NOW + contact.CUT_OFF_S - 0.01))
+        self.assertTrue(link.is_lost(NOW + contact.CUT_OFF_S))
+        link.note(NOW + contact.CUT_OFF_S)
+        self.assertFalse(link.is_lost(NOW + contact.CUT_OFF_S))
 
 
 if __name__ == "__main__":
--- a/thornport/entry/daemon.py
+++ b/thornport/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry process: joins the slices, sockets and timers of one entry."""
+"""The entry process: connects the parts, sockets and timers of one entry."""
 
 import treq
 from returns import result
@@ -21,20 +21,20 @@
 HTTP_UNAVAILABLE = 503
 DRAIN_S = 2.0
 HAND_OVER_S = 3.0
-POLL_S = 0.05
-# The last answers leave their socket's buffer in milliseconds (as cell.serving.END_S).
-LAST_ANSWERS_S = 0.3
+ANSWERS_CHECK_S = 0.05
+# The last answers leave their socket buffers in milliseconds (as cell.serving.END_S).
+ANSWER_FLUSH_S = 0.3
 
 
 class Entry:
     """One entry process.
 
     Attributes:
-      node, sharing, keys, front: The slices at the edge.
+      node, sharing, keys, front: The parts of the entry.
     """
 
     def __init__(self, reactor, settings):
-        """Make the parts; nothing is opened yet.
+        """Create the parts without opening sockets.
 
         Args:
           reactor: Twisted's reactor.
@@ -90,7 +90,7 @@
         self._limit_connections()
 
     def _limit_connections(self):
-        """Keep few enough idle connections that all entries' stay in bounds."""
+        """Limit idle connections so that those of all entries stay within bounds."""
         services = self._in_force.config.services_by_name.values()
         if services:
             members = len(self.node.ring.members)
@@ -156,7 +156,7 @@
         return defer.gatherResults(checks)
 
     async def _check_backend(self, address):
-        """Ask a backend server how it is."""
+        """Check the health of a backend server."""
         try:
             url = f"http://{address}/health"
             response = await self._http.get(url, timeout=HEALTH_TIMEOUT_S)
@@ -165,8 +165,8 @@
             self.sharing.mark_unreachable(address)
             return
         except Exception as error:
-            # A server that does not answer is passed over for its failed
-            # requests; only its own word makes it a leaving one.
+            # A server that does not answer is avoided because of its failed
+            # requests; only its own answer marks it as leaving.
             logs.log("backend-silent", backend=address, reason=str(error))
             return
         self.sharing.mark_reachable(address)
@@ -174,28 +174,28 @@
             self.mark_leaving(address)
 
     def mark_leaving(self, address, is_from_peer=False):
-        """Believe that a backend server is leaving, and tell the peers.
+        """Mark a backend server as leaving and notify the peers.
 
         Args:
           address: A str.
-          is_from_peer: A bool; peers' news is not passed on.
+          is_from_peer: A bool; a report of a peer is not passed on.
         """
         if self.sharing.mark_leaving(address) and not is_from_peer:
             for member_id in self.node.ring.member_ids:
                 self.node.send(member_id, loans.BackendNews(address))
 
-    # What follows is the interface that callers.make_app asks for.
+    # The methods below are the interface that callers.listen needs.
 
     def is_ready(self):
-        """Tell whether the balancer should send requests here."""
+        """Return whether the load balancer should send requests here."""
         return self.front.is_ready()
 
     def read_request(self, service, get_header, body):
-        """Check a request; as requests.read_request."""
+        """Validate a request, as requests.read_request does."""
         return self.front.read_request(service, get_header, body)
 
     def serve(self, request):
-        """Run a request; as front.Front.serve."""
+        """Run a request, as front.Front.serve does."""
         return self.front.serve(request)
 
     def describe(self):
@@ -213,37 +213,37 @@
         }
 
     def stop(self):
-        """Stop in the planned way: nothing in flight is cut.
+        """Stop gracefully, without interrupting requests in flight.
 
         Returns:
-          A Deferred that fires when all is done.
+          A Deferred that fires when the entry has stopped.
         """
         return tasks.spawn(self._stop(), "stop")
 
     async def _stop(self):
         logs.log("stopping", in_flight=self.front.in_flight)
         self.front.stop_being_ready()
-        # Callers would go on using open connections to the end.
+        # Otherwise callers would use open connections until the end.
         self._open_requests.close_connections()
-        # The balancer sees it late; what it still sends is served.
+        # The load balancer notices with a delay; requests it still sends are served.
         await tasks.sleep(self._reactor, DRAIN_S)
         await self._bound.stopListening()
         await self._wait_for_answers()
         self.keys.holder.close()
         if await self.node.leave():
-            # The others now ask for what this process lent and recorded.
+            # The other entries now fetch the loans and records of this process.
             await tasks.sleep(self._reactor, HAND_OVER_S)
             await self.node.announce_gone()
-        # Connections that were idle until now may have brought requests meanwhile.
+        # Requests may have arrived meanwhile on connections that were idle.
         await self._wait_for_answers()
         logs.log("stopped")
 
     async def _wait_for_answers(self):
-        """Wait until every request has its answer, and the answers have left."""
+        """Wait until every request is answered and the answers are sent."""
         while True:
             while self._is_serving():
-                await tasks.sleep(self._reactor, POLL_S)
-            await tasks.sleep(self._reactor, LAST_ANSWERS_S)
+                await tasks.sleep(self._reactor, ANSWERS_CHECK_S)
+            await tasks.sleep(self._reactor, ANSWER_FLUSH_S)
             if not self._is_serving():
                 return
 
--- a/thornport/entry/dispatch.py
+++ b/thornport/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""One request to one backend server, and the truth about what became of it."""
+"""Sends a request to a backend server and determines whether it may have run."""
 
 from twisted.internet import defer, endpoints
 from twisted.internet import error as neterror
@@ -24,12 +24,12 @@
 
 @implementer(iweb.IBodyProducer)
 class WholeBody:
-    """A body that is already here, written at once."""
+    """A request body that is in memory and written at once."""
 
     __slots__ = ("_body", "length")
 
     def __init__(self, body):
-        """Take the body.
+        """Create a producer.
 
         Args:
           body: Bytes.
@@ -38,28 +38,28 @@
         self.length = len(body)
 
     def startProducing(self, consumer):
-        """Write all of it."""
+        """Write the whole body."""
         consumer.write(self._body)
         return defer.succeed(None)
 
     def pauseProducing(self):
-        """Nothing to pause: all is written."""
+        """Do nothing; the whole body is already written."""
 
     def resumeProducing(self):
-        """Nothing to go on with: all is written."""
+        """Do nothing; the whole body is already written."""
 
     def stopProducing(self):
-        """Nothing to stop: all is written."""
+        """Do nothing; the whole body is already written."""
 
 
 @implementer(iweb.IAgentEndpointFactory)
 class AddressEndpoints:
-    """Endpoints of addresses `IP:PORT`, which need no name looked up."""
+    """Endpoints of `IP:PORT` addresses, without name resolution."""
 
     __slots__ = ("_reactor",)
 
     def __init__(self, reactor):
-        """Take the reactor.
+        """Create a factory.
 
         Args:
           reactor: Twisted's reactor.
@@ -67,7 +67,7 @@
         self._reactor = reactor
 
     def endpointForURI(self, uri):
-        """Make the endpoint of a URI whose host is an IP number."""
+        """Make the endpoint of a URI whose host is an IP address."""
         host = uri.host.decode("ascii")
         return endpoints.TCP4ClientEndpoint(
             self._reactor, host, uri.port, CONNECT_TIMEOUT_S
@@ -77,7 +77,8 @@
 def compute_idle_connections(services, members):
     """Compute how many idle connections to keep to each backend server.
 
-    One pool serves all services, so the service that takes the fewest decides.
+    One pool serves all services, so the service with the fewest spare connections
+    decides.
 
     Args:
       services: An iterable of schema.Service, not empty.
@@ -90,19 +91,19 @@
 
 
 class Dispatcher:
-    """Sends requests over kept connections."""
+    """Sends requests over persistent connections."""
 
     __slots__ = ("_agent", "_pool", "_reactor")
 
     def __init__(self, reactor):
-        """Make the connection pool.
+        """Create the connection pool.
 
         Args:
           reactor: Twisted's reactor.
         """
         self._reactor = reactor
         self._pool = webclient.HTTPConnectionPool(reactor, persistent=True)
-        # A retry decided inside the library could run a request twice.
+        # An automatic retry of the library could run a request twice.
         self._pool.retryAutomatically = False
         self._pool.cachedConnectionTimeout = IDLE_CONNECTION_S
         self._agent = webclient.Agent.usingEndpointFactory(
@@ -110,7 +111,7 @@
         )
 
     def limit_connections(self, per_backend):
-        """Bound the idle connections kept to each backend server.
+        """Bound the idle connections to each backend server.
 
         Args:
           per_backend: An int.
@@ -145,13 +146,13 @@
         except (defer.TimeoutError, defer.CancelledError):
             return outcome.may_have_run(outcome.Reason.RUN_TOO_LONG)
         except Exception as error:
-            # Every other end, a cut answer among them, leaves it open
-            # whether the backend server has run the request.
+            # After any other error, such as a truncated answer, the backend server
+            # may or may not have run the request.
             return outcome.may_have_run(outcome.Reason.BROKEN_ANSWER, repr(error))
 
 
 def raise_timeout(result, timeout_s):
-    """Say that a dispatch was ended for its time, however it then failed.
+    """Replace the failure of a cancelled dispatch by a timeout error.
 
     Raises:
       defer.TimeoutError: Always.
@@ -160,18 +161,18 @@
 
 
 def read_whole(response):
-    """Read an answer to its proven end.
+    """Read an answer until its end is certain.
 
     Args:
       response: A twisted IResponse.
     Returns:
-      A Deferred of Answer or GivenUp, failing if the answer is cut short.
+      A Deferred of Answer or GivenUp, which fails if the answer is truncated.
     """
     refused = response.headers.getRawHeaders(requests.HEADER_REFUSED)
     reading = webclient.readBody(response)
     if refused:
         given_up = outcome.not_run(outcome.Reason.REFUSED, refused[0])
-        # The refusal is in the headers, which have come whole.
+        # The refusal is in the headers, which have arrived completely.
         return reading.addBoth(lambda _: given_up)
     types = response.headers.getRawHeaders(b"Content-Type", [DEFAULT_CONTENT_TYPE])
     content_type = types[0].decode("latin-1")
--- a/thornport/entry/front.py
+++ b/thornport/entry/front.py
@@ -1,4 +1,4 @@
-"""The way of a request through an entry, from its arrival to its outcome."""
+"""Serves each request at an entry, from its arrival to its outcome."""
 
 import collections
 
@@ -11,8 +11,8 @@
 from thornport.routing import request as requests
 
 TICK_S = 0.05
-MAX_ATTEMPTS = 4  # that may have run
-# The backend server has done nothing for the request, and gets no other.
+MAX_ATTEMPTS = 4  # of a request, counting only attempts that may have run
+# The backend server has done no work for the request and is not sent another.
 NOT_ACCEPTED = (outcome.Reason.REFUSED, outcome.Reason.UNREACHABLE)
 
 
@@ -24,12 +24,12 @@
       waiting: A waiting.WaitingRequests.
       slots: A slots.Slots.
       dispatcher: A dispatch.Dispatcher.
-      may_act: Called with the time; whether this entry has a part in the ring.
-      in_flight: An int, requests that have come and have no outcome yet.
+      may_act: Called with the time; whether this entry is certainly in the ring.
+      in_flight: An int, requests that have arrived and have no outcome yet.
     """
 
     def __init__(self, reactor, in_force, sharing, key_claims, metrics):
-        """Take what it works with.
+        """Create a front without requests.
 
         Args:
           reactor: Twisted's reactor.
@@ -58,7 +58,7 @@
         return self._in_force.config
 
     def is_ready(self):
-        """Tell whether the balancer should send requests here."""
+        """Return whether the load balancer should send requests here."""
         is_started = self._in_force.revision > 0 and not self._is_stopping
         return is_started and not self._contact.is_lost(clock.read_monotonic())
 
@@ -71,11 +71,11 @@
             self.waiting.give_up_all(outcome.Reason.CUT_OFF)
 
     def stop_being_ready(self):
-        """Ask the balancer for no more requests; those that come are served."""
+        """Report this entry as not ready; requests that still arrive are served."""
         self._is_stopping = True
 
     def read_request(self, service, get_header, body):
-        """Check a request; as requests.read_request."""
+        """Validate a request, as requests.read_request does."""
         read = requests.read_request(
             self._config,
             service,
@@ -93,26 +93,26 @@
         return refusal
 
     def serve(self, request):
-        """Run a request, to its end even if the caller goes away.
+        """Run a request to its end, even if the caller disconnects.
 
         Args:
           request: A requests.Request.
         Returns:
           A Deferred of outcome.Answer or outcome.GivenUp.
         """
-        told = defer.Deferred()
+        served = defer.Deferred()
 
-        def tell(done):
-            if not told.called:
-                told.callback(done)
+        def fire_once(done):
+            if not served.called:
+                served.callback(done)
 
         running = defer.ensureDeferred(self._serve(request))
-        running.addBoth(self._count_end, request).addCallback(tell)
-        return told
+        running.addBoth(self._count_end, request).addCallback(fire_once)
+        return served
 
     def _count_end(self, done, request):
         if not isinstance(done, outcome.Answer | outcome.GivenUp):
-            # An error of ours: nothing is known, so nothing is promised.
+            # Internal error: whether the request ran is unknown.
             logs.log("serve-failed", error=repr(getattr(done, "value", done)))
             reason = outcome.Reason.BROKEN_ANSWER
             done = outcome.may_have_run(reason, "internal error")
@@ -138,7 +138,7 @@
             self._count_by_workspace[request.workspace] -= 1
 
     async def _serve_once(self, request):
-        """Run a request whose key was never run, and keep its end."""
+        """Run a request only if its key has not run yet, and record its outcome."""
         declared = self._config.services_by_name[request.service]
         claim_result = await self._keys.claim(request, declared.key_life_ms)
         if claim_result.decision is not claims.Decision.FRESH:
@@ -180,20 +180,21 @@
         if clock.read_monotonic() >= request.deadline:
             return False
         if done.reason in NOT_ACCEPTED:
-            # Budget and attempts bound the work of backend servers; this was none.
+            # The budget and the attempts bound the work of backend servers, and this
+            # attempt caused none.
             return True
         if done.outcome is outcome.Outcome.MAY_HAVE_RUN and not request.repeatable:
             return False
         return request.attempts < MAX_ATTEMPTS and service.budget.spend()
 
     def _find_slot(self, service, request, avoid):
-        """Find a slot now or later, as `WaitingRequests.find_slot`."""
+        """Find a slot now or later, as `WaitingRequests.find_slot` does."""
         if self._contact.is_lost(clock.read_monotonic()):
             return defer.succeed(outcome.not_run(outcome.Reason.CUT_OFF, "", 1))
         return self.waiting.find_slot(service, request, avoid)
 
     async def _dispatch(self, service, request, target):
-        """Send a request to the backend server whose slot it holds."""
+        """Send a request to the backend server of its slot."""
         use = self.slots.begin(service, request, target)
         if use is None:
             return outcome.not_run(outcome.Reason.DEADLINE, "too late to start", 1)
@@ -202,7 +203,7 @@
         return done
 
     def tick(self):
-        """Give up on those who can no longer start in time."""
+        """Check contact, give up requests that cannot start in time, assign slots."""
         now = clock.read_monotonic()
         self._check_contact(now)
         self.waiting.give_up_late(now)
--- a/thornport/entry/front_test.py
+++ b/thornport/entry/front_test.py
@@ -1,4 +1,4 @@
-"""Requests whose backend server cannot be reached find another one."""
+"""Tests that requests move on from an unreachable backend server."""
 
 import unittest
 
@@ -21,14 +21,14 @@
 
 
 class FakeDispatcher:
-    """Refuses for one backend server; another answers when it is told to."""
+    """Reports one backend server as unreachable; the test makes others answer."""
 
     def __init__(self):
         self.running = []
         self.sent = []
 
     def send(self, request, address, timeout_s):
-        """Note the request and say what became of it, or will."""
+        """Record the address and return the outcome or a pending one."""
         self.sent.append(address)
         if address == CLOSED:
             refused = outcome.not_run(outcome.Reason.UNREACHABLE, "refused")
@@ -42,7 +42,7 @@
 
 
 class FakeSharing:
-    """Slots that are held for as long as the test lasts."""
+    """Slots whose grants outlast the test."""
 
     def __init__(self):
         self.borrower = borrower.Borrower("h0")
@@ -55,19 +55,19 @@
         self.borrower.take_grants(loans.Grants(now, FOR_LONG_MS, grants))
 
     def mark_unreachable(self, address):
-        """Believe that no connection to a backend server can be made."""
+        """Mark a backend server as unreachable."""
         self.borrower.mark_unreachable(address)
 
     def send_demands_soon(self):
-        """Nobody is told."""
+        """Do nothing; there are no homes."""
 
 
 class Unreachable(unittest.TestCase):
-    """One backend server has closed its port, and nobody has said that it leaves.
+    """A backend server refuses connections without being marked as leaving.
 
-    All its slots are free, so whoever waited was sent there, four times within
-    milliseconds, and was then told not-run: a process that ended took most requests
-    of a full load with it until the list of VMs dropped it.
+    All its slots are free, so each waiting request was sent there four times within
+    milliseconds and then ended as not-run: under full load, one ended process failed
+    most requests until it was dropped from the list of VMs.
     """
 
     def setUp(self):
@@ -89,7 +89,7 @@
         self.ended = []
 
     def serve(self, count):
-        """Send requests that may not run twice."""
+        """Serve requests that are not repeatable."""
         now = clock.read_monotonic()
         for number in range(count):
             request = requests.Request(
@@ -108,13 +108,13 @@
             serving = self.front.serve(request)
             tasks.spawn(serving, "serve").addCallback(self.ended.append)
 
-    def test_all_are_answered_though_more_come_than_there_are_slots(self):
+    def test_all_are_answered_with_more_requests_than_slots(self):
         self.serve(40)
         while self.dispatcher.running:
             self.dispatcher.answer()
         self.assertEqual(self.ended, [ANSWER] * 40)
 
-    def test_it_is_not_tried_by_one_request_after_the_other(self):
+    def test_unreachable_server_is_tried_only_once(self):
         self.serve(40)
         while self.dispatcher.running:
             self.dispatcher.answer()
--- a/thornport/entry/keys.py
+++ b/thornport/entry/keys.py
@@ -1,4 +1,4 @@
-"""Keys at the edge: moves claims, votes and records between entries."""
+"""Exchanges claims, votes and records of idempotency keys between entries."""
 
 from twisted.internet import defer
 
@@ -34,10 +34,10 @@
 
 
 class Keys:
-    """The claims and the held records of one entry."""
+    """The claims that one entry makes and the records that it holds."""
 
     def __init__(self, reactor, node):
-        """Take what it works with.
+        """Create it without claims and records.
 
         Args:
           reactor: Twisted's reactor.
@@ -54,11 +54,11 @@
         tasks.call_periodically(self._reactor, TICK_S, self._tick, "keys")
 
     def start_incarnation(self, member_id):
-        """Go on as another life: no record is held any more."""
+        """Continue as a new incarnation, which holds no records."""
         self.holder = holder.Holder(member_id)
 
     def take_ring(self, ring, now):
-        """Take a new ring."""
+        """Apply a new ring."""
         self.holder.take_ring(ring, now)
 
     def _tick(self):
@@ -67,7 +67,7 @@
             self._node.send(member_id, messages.AskRecords(self.holder.ring.epoch))
         self.holder.expire(now)
         for claim_result in self._claims.expire(now):
-            self._tell(claim_result)
+            self._resolve(claim_result)
 
     async def claim(self, request, key_life_ms):
         """Claim the key of a request.
@@ -76,8 +76,8 @@
           request: A requests.Request with a key.
           key_life_ms: An int.
         Returns:
-          A claims.ClaimResult. Whatever it rules, it is to be ended by `finish`
-          or `release`.
+          A claims.ClaimResult. Whatever its decision, the caller ends the claim by
+          `finish` or `release`.
         """
         for _ in range(NO_QUORUM_TRIES):
             claim_result = await self._claim_once(request, key_life_ms)
@@ -85,35 +85,37 @@
                 return claim_result
             if clock.read_monotonic() + RETRY_CLAIM_S >= request.deadline:
                 return claim_result
-            # The ring may just be changing; its members settle in moments.
+            # The ring may be changing; its members agree again shortly.
             self.release(claim_result)
             await tasks.sleep(self._reactor, RETRY_CLAIM_S)
         return await self._claim_once(request, key_life_ms)
 
     def _claim_once(self, request, key_life_ms):
         now = clock.read_monotonic()
-        # The key outlives the request, or a late run could follow another.
+        # The key outlives the request, or a late run could follow an earlier one.
         life_ms = key_life_ms + clock.compute_remaining_ms(request.deadline, now)
         key = f"{request.workspace}/{request.key}"
         digest = requests.digest_request(request)
-        claim_id, said = self._claims.start(self._node.ring, key, digest, life_ms, now)
+        claim_id, outgoing = self._claims.start(
+            self._node.ring, key, digest, life_ms, now
+        )
         waiting = defer.Deferred()
         self._waiting_by_claim_id[claim_id] = waiting
-        self._say(said)
+        self._send_all(outgoing)
         return waiting
 
-    def _say(self, said):
-        for member, message in said:
+    def _send_all(self, outgoing):
+        for member, message in outgoing:
             self._node.send(member.member_id, message)
 
     def finish(self, claim_result, answer):
-        """End a claim whose request has run, or may have.
+        """End a claim whose request has run or may have run.
 
         Args:
           claim_result: A claims.ClaimResult, FRESH.
-          answer: An outcome.Answer to keep, or None.
+          answer: An outcome.Answer to record, or None.
         """
-        self._say(self._claims.finish(claim_result.claim_id, answer))
+        self._send_all(self._claims.finish(claim_result.claim_id, answer))
 
     def release(self, claim_result):
         """End a claim whose request was not run.
@@ -121,9 +123,9 @@
         Args:
           claim_result: A claims.ClaimResult.
         """
-        self._say(self._claims.release(claim_result.claim_id))
+        self._send_all(self._claims.release(claim_result.claim_id))
 
-    def _tell(self, claim_result):
+    def _resolve(self, claim_result):
         self._waiting_by_claim_id.pop(claim_result.claim_id).callback(claim_result)
 
     def take_claim(self, sender_id, claim):
@@ -136,14 +138,14 @@
         """Count a vote."""
         claim_result = self._claims.take_vote(sender_id, voted)
         if claim_result:
-            self._tell(claim_result)
+            self._resolve(claim_result)
 
     def take_ask(self, sender_id, ask):
-        """Give a member the records it should hold."""
+        """Send a member the records that it should hold."""
         now = clock.read_monotonic()
         for part in self.holder.answer_ask(sender_id, ask, now):
             self._node.send(sender_id, part)
 
     def take_records(self, sender_id, part):
-        """Take a part of a member's records."""
+        """Store a part of a member's records."""
         self.holder.take_records(sender_id, part, clock.read_monotonic())
--- a/thornport/entry/peering.py
+++ b/thornport/entry/peering.py
@@ -1,4 +1,4 @@
-"""What an entry does with each message of its peers."""
+"""Dispatches the messages of peers to the parts of an entry."""
 
 import functools
 
@@ -28,15 +28,15 @@
 
 @functools.singledispatch
 def take(message, entry, sender_id, address):
-    """Act on a message.
+    """Handle a message.
 
     Args:
       message: A message of one of the types of CODEC.
       entry: A daemon.Entry.
-      sender_id: A str, the sender's life.
-      address: A str, where to answer to.
+      sender_id: A str, the member id of the sender's incarnation.
+      address: A str, where answers go.
     """
-    raise TypeError(f"no way to take {message!r}")
+    raise TypeError(f"unsupported message from a peer: {message!r}")
 
 
 @take.register
@@ -47,31 +47,31 @@
 
 @take.register
 def take_ack(message: guard.Ack, entry, sender_id, address):
-    """Take the answer to a heartbeat."""
+    """Process the answer to a heartbeat."""
     entry.node.take_ack(sender_id, address, message)
 
 
 @take.register
 def take_want(message: relay.Want, entry, sender_id, address):
-    """Hand over the newest of a topic."""
+    """Send the newest state of a topic."""
     entry.node.take_want(sender_id, address, message)
 
 
 @take.register
 def take_have(message: relay.Have, entry, sender_id, address):
-    """Take the newest of a topic."""
+    """Store the newest state of a topic."""
     entry.node.take_have(message)
 
 
 @take.register
 def take_demand(message: loans.Demand, entry, sender_id, address):
-    """Lend slots."""
+    """Lend slots to the sender."""
     entry.sharing.take_demand(sender_id, message)
 
 
 @take.register
 def take_grants(message: loans.Grants, entry, sender_id, address):
-    """Borrow slots."""
+    """Apply the slots that the sender grants."""
     entry.sharing.take_grants(sender_id, message)
 
 
@@ -83,13 +83,13 @@
 
 @take.register
 def take_handoff(message: loans.Handoff, entry, sender_id, address):
-    """Take over backend servers."""
+    """Take over backend servers from their former home."""
     entry.sharing.take_handoff(sender_id, message)
 
 
 @take.register
 def take_news(message: loans.BackendNews, entry, sender_id, address):
-    """Believe that a backend server is leaving."""
+    """Mark a backend server as leaving."""
     entry.mark_leaving(message.backend, is_from_peer=True)
 
 
@@ -107,23 +107,23 @@
 
 @take.register
 def take_done(message: once.Done, entry, sender_id, address):
-    """Keep the end of a request."""
+    """Record the outcome of a request."""
     entry.keys.holder.take_done(message)
 
 
 @take.register
 def take_release(message: once.Release, entry, sender_id, address):
-    """Forget a claim."""
+    """Remove a claim."""
     entry.keys.holder.take_release(message)
 
 
 @take.register
 def take_ask(message: once.AskRecords, entry, sender_id, address):
-    """Give a member its records."""
+    """Send a member the records that it should hold."""
     entry.keys.take_ask(sender_id, message)
 
 
 @take.register
 def take_records(message: once.Records, entry, sender_id, address):
-    """Take records."""
+    """Store records from another member."""
     entry.keys.take_records(sender_id, message)
--- a/thornport/entry/services.py
+++ b/thornport/entry/services.py
@@ -1,4 +1,4 @@
-"""What an entry keeps for each service: its queue, its budget and what runs."""
+"""State of each service at an entry: queue, retry budget and running requests."""
 
 import collections
 
@@ -6,18 +6,18 @@
 
 
 class Service:
-    """What an entry keeps for one service.
+    """The state of one service.
 
     Attributes:
       queue: An admission.Queue.
       budget: A retries.RetryBudget.
-      running_by_price: A Counter of the requests that backend servers have.
+      running_by_price: A Counter of the requests that run on backend servers.
     """
 
     __slots__ = ("budget", "queue", "running_by_price")
 
     def __init__(self, declared):
-        """Start empty.
+        """Create it without requests.
 
         Args:
           declared: A schema.Service.
@@ -28,7 +28,7 @@
 
 
 class Services:
-    """The services that requests have come for.
+    """The services that this entry has received requests for.
 
     Attributes:
       by_name: A dict of Service.
@@ -37,7 +37,7 @@
     __slots__ = ("_in_force", "by_name")
 
     def __init__(self, in_force):
-        """Start empty.
+        """Create it without requests.
 
         Args:
           in_force: An inforce.InForce.
@@ -46,7 +46,7 @@
         self.by_name = {}
 
     def find(self, name):
-        """Find a service, which begins with its first request.
+        """Return the state of a service, created at its first request.
 
         Args:
           name: A str, of a service in force.
@@ -60,18 +60,18 @@
         return service
 
     def read_demand(self):
-        """Count, by service and price, what runs and what waits."""
+        """Count running and waiting requests by service and price."""
         demand = {}
         for name, service in self.by_name.items():
             counts = collections.Counter(service.queue.count_by_price())
             counts.update(service.running_by_price)
-            kept = {price: count for price, count in counts.items() if count}
-            if kept:
-                demand[name] = kept
+            nonzero = {price: count for price, count in counts.items() if count}
+            if nonzero:
+                demand[name] = nonzero
         return demand
 
     def take_settings(self):
-        """Take new settings: limits that shrink drain, they do not cut."""
+        """Apply new settings; a lower queue limit drops no waiting request."""
         for name, service in self.by_name.items():
             declared = self._in_force.config.services_by_name.get(name)
             service.queue.limit = declared.queue_limit if declared else 0
--- a/thornport/entry/services_test.py
+++ b/thornport/entry/services_test.py
@@ -1,4 +1,4 @@
-"""What an entry counts for its services, and what new settings change."""
+"""Tests the demand that an entry counts and the effect of new settings."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 def make_in_force(**declared):
-    """Make settings in force with one service; a queue of two if nothing is said."""
+    """Make settings in force with one service, by default with a queue of two."""
     in_force = inforce.InForce()
     service = schema.Service(**({"queue_limit": 2} | declared))
     in_force.config = compiling.Config(
@@ -21,7 +21,7 @@
 
 
 def make_request(price, now, patience_s):
-    """Make a request that comes now and is of use for so long."""
+    """Make a request that arrives now, with its deadline after `patience_s`."""
     return requests.Request(
         "r",
         SERVICE,
@@ -38,19 +38,19 @@
 
 
 class Services(unittest.TestCase):
-    """One service of which requests have come."""
+    """An entry with settings for one service."""
 
     def setUp(self):
         self.in_force = make_in_force()
         self.services = services.Services(self.in_force)
 
-    def test_service_begins_once_with_its_first_request(self):
+    def test_service_is_created_once_at_its_first_request(self):
         self.assertEqual(self.services.by_name, {})
         found = self.services.find(SERVICE)
         self.assertEqual(found.queue.limit, 2)
         self.assertIs(self.services.find(SERVICE), found)
 
-    def test_demand_is_by_price_and_without_what_is_over(self):
+    def test_demand_is_by_price_and_leaves_out_zero_counts(self):
         found = self.services.find(SERVICE)
         self.assertEqual(self.services.read_demand(), {})
         found.running_by_price[10] += 2
@@ -58,7 +58,7 @@
         found.running_by_price[20] -= 1
         self.assertEqual(self.services.read_demand(), {SERVICE: {10: 2}})
 
-    def test_limits_follow_the_settings(self):
+    def test_queue_limit_follows_the_settings(self):
         found = self.services.find(SERVICE)
         self.in_force.config = make_in_force(queue_limit=5).config
         self.services.take_settings()
--- a/thornport/entry/sharing.py
+++ b/thornport/entry/sharing.py
@@ -1,29 +1,29 @@
-"""Slots at the edge: moves demands, grants and handovers between entries."""
+"""Exchanges demands, grants and handovers of slots between entries."""
 
 from thornport.kernel import clock, logs, tasks
 from thornport.routing import borrower, homes, ledgers, lender, loans
 
 TICK_S = 0.05
 DEMAND_PERIOD_S = 0.5
-SOON_S = 0.002
+DEMAND_DELAY_S = 0.002
 
 
 class Sharing:
     """The lender and the borrower of one entry.
 
     Attributes:
-      lender: A lender.Lender of the present life.
-      borrower: A borrower.Borrower, the same over lives.
+      lender: A lender.Lender of the current incarnation.
+      borrower: A borrower.Borrower, the same across incarnations.
     """
 
     def __init__(self, reactor, node, hall, read_demand):
-        """Take what it works with.
+        """Create it without settings and ring.
 
         Args:
           reactor: Twisted's reactor.
           node: A node.Node.
           hall: A str.
-          read_demand: A callable that gives, by service, a dict from price to
+          read_demand: A callable that returns, by service, a dict from price to
             the count of requests running or waiting.
         """
         self._reactor = reactor
@@ -44,19 +44,19 @@
         tasks.call_periodically(self._reactor, TICK_S, self._tick, "share-slots")
 
     def start_incarnation(self, member_id):
-        """Go on as another life: nothing is lent any more."""
+        """Continue as a new incarnation, which has lent nothing."""
         self.lender = lender.Lender(member_id)
         self.lender.take_backends(self._backends_by_address, clock.read_monotonic())
 
     def take_ring(self, ring, now):
-        """Take a new ring."""
+        """Apply a new ring."""
         self._homes = homes.Homes(ring)
         self.lender.take_ring(ring, now)
         self.lender.take_backends(self._backends_by_address, now)
         self.send_demands_soon()
 
     def take_listed(self, listed_by_address, services_by_name):
-        """Take the list of VMs and the services in force.
+        """Apply the list of VMs and the services in force.
 
         Args:
           listed_by_address: A dict of vmlist.Listed.
@@ -82,10 +82,10 @@
         self.lender.take_backends(self._backends_by_address, now)
 
     def mark_leaving(self, address):
-        """Believe that a backend server is leaving.
+        """Mark a backend server as leaving.
 
         Returns:
-          A bool, whether this is news.
+          A bool, whether it was not marked before.
         """
         if not self.borrower.mark_leaving(address):
             return False
@@ -94,26 +94,26 @@
         return True
 
     def mark_unreachable(self, address):
-        """Believe that no connection to a backend server can be made.
+        """Mark a backend server as unreachable.
 
-        Its slots are not lent either, or an entry could be left with these alone.
+        Its slots are not lent either, or an entry might hold only unreachable slots.
         """
         if self.borrower.mark_unreachable(address):
             logs.log("backend-unreachable", backend=address)
             self._refresh_backends()
 
     def mark_reachable(self, address):
-        """Believe that a backend server can be reached."""
+        """Mark a backend server as reachable."""
         if self.borrower.mark_reachable(address):
             logs.log("backend-reachable", backend=address)
             self._refresh_backends()
 
     def list_to_check(self):
-        """List the backend servers to ask how they are.
+        """List the backend servers whose health is to be checked.
 
         Returns:
-          A set of addresses: of those that this process is the home of, and of those
-          that it could not reach.
+          A set of the addresses of the backend servers that this process is the home
+          of and of those that it could not reach.
         """
         unreachable = self.borrower.list_unreachable()
         return {*self.lender.list_addresses(), *unreachable}
@@ -134,20 +134,22 @@
         self._last_demand = demand
         self._demanded_at = now
         for home_id in self._homes.ring.member_ids:
-            said = self.borrower.make_demand(self._homes, home_id, demand, now)
-            self._node.send(home_id, said)
+            message = self.borrower.make_demand(self._homes, home_id, demand, now)
+            self._node.send(home_id, message)
 
     def send_demands_soon(self):
-        """Tell all homes within moments; many calls make one telling."""
+        """Send the demand to all homes after a short delay, once for many calls."""
         if self._pending is None:
-            self._pending = self._reactor.callLater(SOON_S, self._send_demands_now)
+            self._pending = self._reactor.callLater(
+                DEMAND_DELAY_S, self._send_demands_now
+            )
 
     def _send_demands_now(self):
         self._pending = None
         self._send_demands(self._read_demand(), clock.read_monotonic())
 
     def take_demand(self, sender_id, demand):
-        """Take a borrower's demand, if this process may lend."""
+        """Answer a borrower's demand if this process may lend."""
         now = clock.read_monotonic()
         if not self._node.may_act(now):
             return
@@ -156,21 +158,21 @@
             self._node.send(sender_id, grants)
 
     def take_grants(self, sender_id, grants):
-        """Take a home's grants, and confirm what has moved."""
+        """Apply a home's grants and confirm the changed limits."""
         if self.borrower.take_grants(grants):
             now = clock.read_monotonic()
             demand = self._read_demand()
-            said = self.borrower.make_demand(self._homes, sender_id, demand, now)
-            self._node.send(sender_id, said)
+            message = self.borrower.make_demand(self._homes, sender_id, demand, now)
+            self._node.send(sender_id, message)
         self.on_slots()
 
     def take_takeover(self, sender_id, takeover):
-        """Hand over what is now the sender's."""
+        """Hand over the backend servers whose home is now the sender."""
         now = clock.read_monotonic()
         handoff = self.lender.answer_takeover(sender_id, takeover, now)
         if handoff:
             self._node.send(sender_id, handoff)
 
     def take_handoff(self, sender_id, handoff):
-        """Take over from a former home."""
+        """Take over backend servers from their former home."""
         self.lender.take_handoff(sender_id, handoff, clock.read_monotonic())
--- a/thornport/entry/slots.py
+++ b/thornport/entry/slots.py
@@ -1,4 +1,4 @@
-"""Slots that requests use: from the choice of one until it is free again."""
+"""Tracks each slot that a request uses, from its selection until it is free."""
 
 import msgspec
 
@@ -14,7 +14,7 @@
     Attributes:
       began_at: A float.
       timeout_s: A float, seconds to wait for the answer.
-      max_run_s: A float, seconds that the service's requests run at the most.
+      max_run_s: A float, the longest run of a request of the service, seconds.
     """
 
     service: services.Service
@@ -33,13 +33,13 @@
     """
 
     def __init__(self, reactor, in_force, sharing, pump):
-        """Take what it works with.
+        """Create it without slots in use.
 
         Args:
           reactor: Twisted's reactor.
           in_force: An inforce.InForce.
           sharing: A sharing.Sharing.
-          pump: A callable that gives free slots to who waits.
+          pump: A callable that assigns free slots to waiting requests.
         """
         self._reactor = reactor
         self._in_force = in_force
@@ -48,32 +48,32 @@
         self.on_leaving = lambda address: None
 
     def begin(self, service, request, target):
-        """Use a slot, or free it if it is too late for the request to start.
+        """Begin to use a slot, or free it if it is too late for the request to start.
 
         Args:
           service: The services.Service of the request.
           request: A requests.Request.
-          target: The borrower.Target of which a slot is held for it.
+          target: The borrower.Target that the slot belongs to.
         Returns:
-          A Use, or None when it is too late.
+          A Use, or None if it is too late.
         """
         declared = self._in_force.config.services_by_name.get(request.service)
         now = clock.read_monotonic()
         max_run_s = (declared.max_run_ms if declared else 1) / clock.MS_PER_S
         timeout_s = min(max_run_s, request.deadline - now)
-        # With nothing running, one that may be late is tried all the same: an
-        # estimate that is too long must not keep everything from running.
+        # If nothing runs, a request that may be late is tried all the same:
+        # too long an estimate must not keep every request from running.
         is_alone = not service.running_by_price.total()
         needed_s = 0.0 if is_alone else min(service.queue.long_run_s, max_run_s)
         if timeout_s <= needed_s or now >= target.deadline:
-            # It waited, or a pause came between the choice and now.
+            # The request waited, or the process paused after the slot was selected.
             self._free(service, target)
             return None
         service.running_by_price[request.price] += 1
         return Use(service, request, target, now, timeout_s, max_run_s)
 
     def end(self, use, done):
-        """Take what became of a request, and free its slot once it surely runs no more.
+        """Record the result of a request and free its slot once it cannot be running.
 
         Args:
           use: The Use that has ended.
@@ -93,7 +93,7 @@
         if failed and done.reason is outcome.Reason.UNREACHABLE:
             self._sharing.mark_unreachable(target.address)
         if may_have_run:
-            # It may still be running there, so its slot is not free.
+            # The request may still be running there, so its slot is not free.
             left_s = max(0.0, use.began_at + use.max_run_s - ended_at)
             self._reactor.callLater(left_s, self._free, service, target)
         else:
@@ -102,7 +102,7 @@
     def _free(self, service, target):
         self._sharing.borrower.free_slot(target)
         if target.in_flight >= target.limit:
-            # The home waits for this slot, to lend it to another.
+            # The home waits for this slot to lend it to another entry.
             self._sharing.send_demands_soon()
         if service.queue:
             self._pump()
--- a/thornport/entry/slots_test.py
+++ b/thornport/entry/slots_test.py
@@ -1,4 +1,4 @@
-"""What becomes of a slot that a request used."""
+"""Tests when a slot that a request used is freed."""
 
 import unittest
 from unittest import mock
@@ -32,7 +32,7 @@
         self.target = borrower.Target(ADDRESS, SERVICE, "h0", 1, 1, 100.0, 1)
 
     def begin(self, patience_s=10.0):
-        """Begin with a request that is of use for so long."""
+        """Begin a request whose deadline is `patience_s` from now."""
         now = self.clock.seconds()
         self.request = services_test.make_request(10, now, patience_s)
         return self.slots.begin(self.service, self.request, self.target)
@@ -41,7 +41,7 @@
         """Count how often the slot was freed."""
         return self.sharing.borrower.free_slot.call_count
 
-    def test_answer_frees_it(self):
+    def test_answer_frees_the_slot(self):
         use = self.begin()
         self.assertEqual(self.service.running_by_price[10], 1)
         self.assertEqual(use.timeout_s, MAX_RUN_S)
@@ -49,10 +49,10 @@
         self.assertEqual(self.service.running_by_price[10], 0)
         self.assertEqual((self.count_freed(), self.request.attempts), (1, 0))
 
-    def test_answer_is_awaited_no_longer_than_its_caller_waits(self):
+    def test_timeout_ends_at_the_deadline_of_the_request(self):
         self.assertEqual(self.begin(patience_s=1.5).timeout_s, 1.5)
 
-    def test_it_is_kept_while_the_request_may_still_run(self):
+    def test_slot_stays_in_use_while_the_request_may_still_run(self):
         use = self.begin()
         self.clock.advance(1.0)
         self.slots.end(use, outcome.may_have_run(outcome.Reason.BROKEN_ANSWER))
@@ -62,7 +62,7 @@
         self.clock.advance(0.01)
         self.assertEqual(self.count_freed(), 1)
 
-    def test_server_that_refuses_leaves_before_its_slot_is_free(self):
+    def test_refusing_server_is_marked_leaving_before_its_slot_is_freed(self):
         use = self.begin()
         self.sharing.borrower.free_slot.side_effect = lambda _: self.assertEqual(
             self.left, [ADDRESS]
@@ -70,21 +70,21 @@
         self.slots.end(use, outcome.not_run(outcome.Reason.REFUSED))
         self.assertEqual((self.count_freed(), self.request.attempts), (1, 0))
 
-    def test_server_that_cannot_be_reached_is_believed_to_be(self):
+    def test_unreachable_server_is_marked_unreachable(self):
         self.slots.end(self.begin(), outcome.not_run(outcome.Reason.UNREACHABLE))
         self.sharing.mark_unreachable.assert_called_once_with(ADDRESS)
         self.assertEqual((self.left, self.count_freed()), ([], 1))
 
-    def test_request_that_is_too_late_frees_it_at_once(self):
+    def test_request_that_is_too_late_frees_the_slot_at_once(self):
         self.assertIsNone(self.begin(patience_s=0.0))
         self.assertEqual(self.count_freed(), 1)
         self.assertEqual(self.service.running_by_price.total(), 0)
 
-    def test_grant_that_is_over_gives_none(self):
+    def test_expired_grant_starts_no_request(self):
         self.clock.advance(self.target.deadline)
         self.assertIsNone(self.begin())
 
-    def test_home_hears_of_a_slot_that_it_wants_back(self):
+    def test_home_is_notified_of_a_freed_slot_that_it_reclaims(self):
         self.slots.end(self.begin(), ANSWER)
         self.sharing.send_demands_soon.assert_called_once_with()
         self.target.in_flight = 0
--- a/thornport/entry/waiting.py
+++ b/thornport/entry/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that need a slot: each gets one, waits for one or is given up in time."""
+"""Assigns slots to requests, queues requests without one and gives up late ones."""
 
 from twisted.internet import defer
 
@@ -6,10 +6,10 @@
 
 
 class WaitingRequests:
-    """Who waits at this entry, and what each is told."""
+    """The requests that wait for a slot at this entry."""
 
     def __init__(self, services, sharing):
-        """Take what it works with.
+        """Create it without requests.
 
         Args:
           services: A services.Services.
@@ -36,24 +36,24 @@
                 return defer.succeed(target)
         slots = self._sharing.borrower.count_limits(request.service, now)
         waiting, given_up_on = service.queue.offer(request, slots, now)
-        told = defer.Deferred()
+        slot_found = defer.Deferred()
         if waiting:
-            self._slot_by_waiting[waiting] = told
+            self._slot_by_waiting[waiting] = slot_found
         self._give_up(given_up_on)
         if not waiting:
             return defer.succeed(given_up_on[0].given_up)
         self._sharing.send_demands_soon()
-        return told
+        return slot_found
 
     def _give_up(self, given_up_on):
-        """Tell those that leave the queue, at once."""
+        """Resolve at once the requests that leave the queue."""
         for entry in given_up_on:
-            told = self._slot_by_waiting.pop(entry.waiting, None)
-            if told:
-                told.callback(entry.given_up)
+            slot_found = self._slot_by_waiting.pop(entry.waiting, None)
+            if slot_found:
+                slot_found.callback(entry.given_up)
 
     def pump(self):
-        """Give free slots to who waits."""
+        """Assign free slots to waiting requests."""
         now = clock.read_monotonic()
         borrower = self._sharing.borrower
         for name, service in self._services.by_name.items():
@@ -62,7 +62,7 @@
                 self._slot_by_waiting.pop(waiting).callback(target)
 
     def give_up_late(self, now):
-        """Give up on those who can no longer start in time.
+        """Give up requests that can no longer start in time.
 
         Args:
           now: A float.
@@ -71,7 +71,7 @@
             self._give_up(service.queue.give_up_late(now))
 
     def give_up_all(self, reason):
-        """Give up on everybody.
+        """Give up all waiting requests.
 
         Args:
           reason: An outcome.Reason.
