--- a/thornport/routing/__init__.py
+++ b/thornport/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Requests: admission, priority, sharing of slots, retries, outcomes."""
+"""Request routing: admission, priority, slot sharing, retries and outcomes."""
--- a/thornport/routing/admission.py
+++ b/thornport/routing/admission.py
@@ -1,15 +1,16 @@
-"""Who waits, who goes next, and who is given up on at once.
+"""Priced admission queue: ordering, aging and load shedding.
 
-The dearest waits in front. So that the cheapest is not starved, every tenth
-dispatch goes to whoever has waited longest. A request that cannot end before
-its deadline is given up on when that is known, with when to come back; a full
-queue gives up its cheapest request for a dearer one.
+Requests are dispatched by descending price. To prevent starvation, every tenth
+dispatch takes the request that has waited longest. A request that is not expected
+to end before its deadline is shed as soon as that is known, with a retry delay. A
+full queue sheds its cheapest request in favour of one with a higher price.
 
-A request that starts too late to end in time is worse than one given up on:
-its slot stays taken after its caller has gone. Once all slots are taken so,
-nothing is answered any more, so the end counts and not the start.
+A request is shed by its expected end, not its start: one that starts too late
+occupies its slot after its caller has gone, and once all slots are occupied like
+this no request is answered in time.
 
-Pure: requests and time in, requests and outcomes out.
+This module does no I/O: it takes requests and times and returns requests and
+outcomes.
 """
 
 import math
@@ -28,11 +29,12 @@
 
 
 class Waiting(msgspec.Struct, eq=False):
-    """One request in the queue.
+    """A queued request.
 
     Attributes:
-      give_up_at: A float; a run that starts later does not end in time.
-      order: A pair that sorts the dearest, then the first come, to the front.
+      give_up_at: A float, the latest start from which the request is expected to end
+        by its deadline.
+      order: A pair that sorts by descending price, then by arrival.
     """
 
     request: requests.Request
@@ -41,20 +43,20 @@
 
 
 class ShedRequest(msgspec.Struct, frozen=True):
-    """A request that leaves the queue without having run."""
+    """A request that is rejected, or removed from the queue, without being run."""
 
     waiting: Waiting
     given_up: outcome.GivenUp
 
 
 class Queue:
-    """The queue of one service at one entry."""
+    """The admission queue of one service at one entry."""
 
     def __init__(self, limit):
         """Start empty.
 
         Args:
-          limit: An int, the most requests that wait.
+          limit: An int, the maximum number of queued requests.
         """
         self.limit = limit
         self._next = 0
@@ -70,7 +72,7 @@
         return len(self._by_order)
 
     def count_by_price(self):
-        """Count who waits.
+        """Count the queued requests by price.
 
         Returns:
           A dict from price to a count.
@@ -78,7 +80,7 @@
         return {price: n for price, n in self._waiting_by_price.items() if n}
 
     def note_run(self, run_s):
-        """Note how long an answered request ran, to estimate waits by.
+        """Update the run time estimate with the run time of an answered request.
 
         Args:
           run_s: A float, seconds.
@@ -93,17 +95,17 @@
 
     @property
     def long_run_s(self):
-        """The time that few runs are longer than, seconds; 0 if not known."""
+        """A run time in seconds that few runs exceed; 0 before the first run."""
         return self._mean_run_s + DEVIATIONS * self._run_deviation_s
 
     def estimate_wait_s(self, price, slots):
-        """Estimate how long a newcomer would wait.
+        """Estimate how long a new request would wait.
 
         Args:
           price: An int.
           slots: An int, how many requests this entry may run at once.
         Returns:
-          A float in seconds; 0 if nothing is known yet.
+          A float in seconds; 0 if no run time is known yet or there are no slots.
         """
         if not slots:
             return 0.0
@@ -111,15 +113,15 @@
         return ahead * self._mean_run_s / slots
 
     def offer(self, request, slots, now):
-        """Take a request, or give it or a cheaper one up.
+        """Queue a request, or shed it or a cheaper one.
 
         Args:
           request: A requests.Request.
           slots: An int, how many requests this entry may run at once.
           now: A float.
         Returns:
-          A pair of the Waiting, or None if it is given up on, and a list of
-          ShedRequest; a newcomer that is given up on is in the list.
+          A pair of the Waiting, or None if the request is shed, and a list of
+          ShedRequest, which includes the new request if it is shed.
         """
         self._next += 1
         give_up_at = request.deadline - self.long_run_s
@@ -151,12 +153,12 @@
         self._waiting_by_price[price] = self._waiting_by_price.get(price, 0) + 1
 
     def remove(self, waiting):
-        """Take a request out.
+        """Remove a request from the queue.
 
         Args:
           waiting: A Waiting.
         Returns:
-          A bool, False if it was not in the queue any more.
+          A bool, False if it was no longer in the queue.
         """
         if self._by_order.pop(waiting.order, None) is None:
             return False
@@ -167,10 +169,10 @@
         return True
 
     def take_next(self):
-        """Take out the request that goes next.
+        """Remove and return the next request to dispatch.
 
         Returns:
-          A Waiting, or None if nobody waits.
+          A Waiting, or None if the queue is empty.
         """
         if not self._by_order:
             return None
@@ -183,7 +185,7 @@
         return waiting
 
     def give_up_late(self, now):
-        """Take out the requests that can no longer start in time.
+        """Remove the requests that can no longer start in time.
 
         Args:
           now: A float.
@@ -199,7 +201,7 @@
         return late
 
     def give_up_all(self, reason):
-        """Take out everybody.
+        """Remove all requests.
 
         Args:
           reason: An outcome.Reason.
--- a/thornport/routing/admission_test.py
+++ b/thornport/routing/admission_test.py
@@ -1,4 +1,4 @@
-"""Tests of the queue: order, starvation, shedding, and nobody lost."""
+"""Tests of the admission queue (order, aging, shedding) and the retry budget."""
 
 import unittest
 
@@ -16,25 +16,27 @@
 
 
 class Order(unittest.TestCase):
-    """Who goes next."""
+    """The order in which requests leave the queue."""
 
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(st.lists(st.integers(0, 5), max_size=60), st.integers(1, 40))
-    def test_everybody_goes_or_is_given_up_on_once(self, prices, limit):
+    def test_every_request_is_dispatched_or_shed_exactly_once(self, prices, limit):
         queue = admission.Queue(limit)
         given_up = []
         for price in prices:
             _, out = queue.offer(make_request(price), 1, 0.0)
             given_up += [entry.waiting.request for entry in out]
-        gone = []
+        dispatched = []
         while waiting := queue.take_next():
-            gone.append(waiting.request)
-        self.assertEqual(len(gone), min(limit, len(prices)))
-        self.assertEqual(sorted(r.price for r in gone + given_up), sorted(prices))
-        kept = sorted(prices, reverse=True)[: len(gone)]
-        self.assertEqual(sorted((r.price for r in gone), reverse=True), kept)
+            dispatched.append(waiting.request)
+        self.assertEqual(len(dispatched), min(limit, len(prices)))
+        self.assertEqual(sorted(r.price for r in dispatched + given_up), sorted(prices))
+        highest_prices = sorted(prices, reverse=True)[: len(dispatched)]
+        self.assertEqual(
+            sorted((r.price for r in dispatched), reverse=True), highest_prices
+        )
 
-    def test_cheapest_is_not_starved(self):
+    def test_cheapest_request_is_not_starved(self):
         queue = admission.Queue(100)
         queue.offer(make_request(1), 1, 0.0)
         seen = []
@@ -45,9 +47,9 @@
 
 
 class Shedding(unittest.TestCase):
-    """Who is given up on, when, and with what answer."""
+    """Which requests are shed, when, and with what outcome."""
 
-    def test_hopeless_newcomer_is_told_at_once_when_to_come_back(self):
+    def test_request_that_would_miss_its_deadline_is_shed_with_retry_delay(self):
         queue = admission.Queue(1000)
         queue.note_run(0.1)
         for _ in range(200):
@@ -59,14 +61,14 @@
         waiting, out = queue.offer(make_request(2, 15.0), 1, 10.0)
         self.assertIsNotNone(waiting)
 
-    def test_late_ones_leave_at_their_time(self):
+    def test_requests_are_shed_at_their_deadlines(self):
         queue = admission.Queue(10)
         for deadline in (3.0, 1.0, 2.0):
             queue.offer(make_request(1, deadline), 1, 0.0)
         self.assertEqual(len(queue.give_up_late(2.0)), 2)
         self.assertEqual(len(queue), 1)
 
-    def test_who_cannot_end_in_time_does_not_start(self):
+    def test_request_is_shed_when_it_can_no_longer_end_in_time(self):
         queue = admission.Queue(10)
         queue.note_run(0.5)
         waiting, _ = queue.offer(make_request(1, 2.0), 1, 0.0)
@@ -74,7 +76,7 @@
         late = queue.give_up_late(1.5)
         self.assertEqual([entry.waiting for entry in late], [waiting])
 
-    def test_budget_holds_when_everything_fails(self):
+    def test_retry_budget_bounds_retries_when_all_requests_fail(self):
         budget = retries.RetryBudget(0.1)
         made = 0
         for _ in range(1000):
--- a/thornport/routing/borrower.py
+++ b/thornport/routing/borrower.py
@@ -1,6 +1,7 @@
-"""An entry's side of slot sharing: what it may send where, right now.
+"""The borrower's side of slot sharing: the slots that an entry may use.
 
-Pure: messages and time in, choices and messages out.
+This module does no I/O: it takes messages and times and returns messages and the
+backend servers to send requests to.
 """
 
 import msgspec
@@ -14,15 +15,15 @@
 
 
 class Target(msgspec.Struct):
-    """A backend server as an entry sees it.
+    """An entry's state of one backend server.
 
     Attributes:
-      seq, limit, deadline: Of the newest grant.
-      in_flight: An int, requests running there, or that may be.
-      failures: A float, rising with each failed dispatch, halved by success.
-      ejected_until: A float; before it the server is used only if no other
-        has a free slot.
-      unreachable: A bool, whether the last connection to it could not be made.
+      seq, limit, deadline: From the newest grant.
+      in_flight: An int, requests that run or may run there.
+      failures: A float, increased by each failed dispatch and halved by a success.
+      ejected_until: A float, before which the backend server is used only if no
+        other has a free slot.
+      unreachable: A bool, whether the last attempt to connect to it failed.
     """
 
     address: str
@@ -39,18 +40,18 @@
 
     @property
     def is_usable(self):
-        """Whether requests may be sent there."""
+        """Whether requests may be sent to the backend server."""
         return not self.leaving and not self.unreachable
 
     def count_free(self, now):
-        """Count the slots that may be filled now."""
+        """Count the slots that are free now."""
         if not self.is_usable or now >= self.deadline:
             return 0
         return self.limit - self.in_flight
 
 
 class Borrower:
-    """The slots one entry holds.
+    """The slots that are lent to one entry.
 
     Attributes:
       targets_by_address: A dict of Target.
@@ -60,7 +61,8 @@
         """Start with no slots.
 
         Args:
-          hall: A str, where this process runs; its own hall is preferred.
+          hall: A str, the data hall of this process, whose backend servers are
+            preferred.
         """
         self._hall = hall
         self._targets_by_service = {}
@@ -68,12 +70,15 @@
         self.targets_by_address = {}
 
     def take_listed(self, listed_by_address):
-        """Take the list of VMs. It lags: who said it leaves is not brought back.
+        """Apply the list of VMs.
+
+        The list lags, so a backend server that announced that it is leaving stays
+        marked as leaving while it is listed.
 
         Args:
-          listed_by_address: A dict of vmlist.Listed, all of backend servers.
+          listed_by_address: A dict of vmlist.Listed, backend servers only.
         """
-        # Once the list has dropped an address, a new VM may come to have it.
+        # A new VM may reuse an address that is no longer listed.
         self._left &= listed_by_address.keys()
         for address, listed in listed_by_address.items():
             target = self.targets_by_address.get(address)
@@ -95,7 +100,7 @@
             self._targets_by_service.setdefault(target.service, []).append(target)
 
     def mark_leaving(self, address):
-        """Believe at once that a backend server is leaving.
+        """Mark a backend server as leaving, ahead of the list of VMs.
 
         Args:
           address: A str.
@@ -110,10 +115,10 @@
         return is_news
 
     def mark_unreachable(self, address):
-        """Believe that no connection to a backend server can be made.
+        """Mark a backend server as unreachable.
 
-        It has every slot free, so each request that waits would be sent there in
-        vain; it gets none until a connection was made again.
+        All of its slots are free, so every waiting request would be sent there in
+        vain. It is sent none until a connection succeeds again.
 
         Args:
           address: A str.
@@ -127,7 +132,7 @@
         return True
 
     def mark_reachable(self, address):
-        """Believe that a backend server can be reached.
+        """Mark a backend server as reachable.
 
         Args:
           address: A str.
@@ -141,7 +146,7 @@
         return True
 
     def list_unreachable(self):
-        """List the backend servers to which a connection may be made again.
+        """List the unreachable backend servers that are not leaving.
 
         Returns:
           A list of addresses.
@@ -150,7 +155,7 @@
         return [t.address for t in targets if t.unreachable and not t.leaving]
 
     def list_usable(self):
-        """List the backend servers that are not leaving and can be reached.
+        """List the backend servers that are reachable and not leaving.
 
         Returns:
           A list of Target.
@@ -158,12 +163,12 @@
         return [t for t in self.targets_by_address.values() if t.is_usable]
 
     def take_grants(self, grants):
-        """Take the grants of a home.
+        """Apply the grants of a home.
 
         Args:
           grants: A loans.Grants.
         Returns:
-          A bool, whether the home should be told that limits moved.
+          A bool, whether limits changed, which the home should be notified of.
         """
         moved = False
         deadline = clock.compute_deadline(grants.ttl_ms, grants.token)
@@ -172,8 +177,8 @@
             if target is None or grant.seq < target.seq:
                 continue
             if grant.seq > target.seq:
-                # Each grant has a deadline of its own: that of an earlier
-                # one, perhaps of another home, says nothing about it.
+                # Each grant has its own deadline. The deadline of an earlier grant,
+                # perhaps from another home, does not apply to it.
                 moved = True
                 target.seq = grant.seq
                 target.limit = grant.limit
@@ -182,7 +187,7 @@
         return moved
 
     def make_demand(self, known_homes, home_id, demand, now):
-        """Make the message that tells a home what is wanted and held.
+        """Make the message that reports demand and applied grants to a home.
 
         Args:
           known_homes: A homes.Homes.
@@ -200,12 +205,12 @@
         return loans.Demand(now, demand, holds)
 
     def pick(self, service, now, avoid=()):
-        """Pick the backend server for one request and take a slot there.
+        """Pick the backend server for one request and occupy a slot there.
 
         Args:
           service: A str.
           now: A float.
-          avoid: Addresses that have failed the request before.
+          avoid: Addresses of the backend servers where the request has failed before.
         Returns:
           A Target, or None if no slot is free.
         """
@@ -223,7 +228,7 @@
         return best
 
     def count_limits(self, service, now):
-        """Count the slots of a service that this entry holds.
+        """Count the slots of a service that are lent to this entry.
 
         Args:
           service: A str.
@@ -238,7 +243,7 @@
         )
 
     def free_slot(self, target):
-        """Give back the slot of a request that has surely ended there.
+        """Release the slot of a request that has certainly ended.
 
         Args:
           target: A Target.
@@ -246,7 +251,7 @@
         target.in_flight -= 1
 
     def note_result(self, target, failed, now):
-        """Remember how a dispatch ended, to pass over a server that fails.
+        """Record a dispatch result, and eject a backend server that keeps failing.
 
         Args:
           target: A Target.
--- a/thornport/routing/homes.py
+++ b/thornport/routing/homes.py
@@ -1,11 +1,11 @@
-"""Which entry is the home of a backend server: rendezvous over the ring."""
+"""Assigns each backend server a home entry by rendezvous hashing over the ring."""
 
 from thornport.kernel import ids
 from thornport.membership import record
 
 
 class Homes:
-    """The homes under one ring, each found once.
+    """The home of each backend server under one ring, cached by address.
 
     Attributes:
       ring: A record.Ring.
@@ -14,7 +14,7 @@
     __slots__ = ("_home_by_address", "ring")
 
     def __init__(self, ring=record.NO_RING):
-        """Take a ring.
+        """Start with an empty cache.
 
         Args:
           ring: A record.Ring.
--- a/thornport/routing/ledgers.py
+++ b/thornport/routing/ledgers.py
@@ -1,6 +1,6 @@
-"""What a home has lent of each backend server, and when it ends.
+"""The loans of each backend server and their expiry.
 
-The data of `lender`, and the counts over it that need nothing else.
+Holds the data types of `lender` and the calculations that need only these.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 
 
 class Backend(msgspec.Struct, frozen=True):
-    """A backend server as its home needs to know it."""
+    """The properties of a backend server that its home needs."""
 
     address: str
     service: str
@@ -19,12 +19,13 @@
 
 
 class Loan(msgspec.Struct):
-    """What one borrower may have running on one backend server.
+    """The slots of one backend server that are lent to one borrower.
 
     Attributes:
-      peak: An int, the highest limit among the grants it may still act on.
-      in_flight: An int, as it last said.
-      expires_at: A float, past which nothing of it can be running.
+      peak: An int, the highest limit among the grants that the borrower may still
+        act on.
+      in_flight: An int, requests running there as last reported by the borrower.
+      expires_at: A float, after which no request of the loan can be running.
     """
 
     seq: int = 0
@@ -35,7 +36,7 @@
 
     @property
     def liability(self):
-        """How many requests it may have running, at worst."""
+        """The maximum number of requests that the borrower may have running."""
         return max(self.peak, self.in_flight)
 
 
@@ -43,9 +44,9 @@
     """The loans of one backend server.
 
     Attributes:
-      unaccounted_from: A float, when a former home may have been lost; for the
-        length of a loan and a run from then, every slot that is not accounted
-        for may be in use.
+      unaccounted_from: A float, when a former home may have been lost. For the
+        duration of a loan plus the longest run from then, every slot without a
+        recorded loan may be in use.
     """
 
     backend: Backend
@@ -54,7 +55,7 @@
 
 
 class Borrower(msgspec.Struct):
-    """What is known of one borrower."""
+    """The newest demand of one borrower and when it was received."""
 
     token: float
     heard_at: float
@@ -62,11 +63,11 @@
 
 
 def compute_loan_end(backend, heard_at):
-    """Find when nothing lent to a borrower can be running any more.
+    """Compute when no request under a borrower's loan can still be running.
 
     Args:
       backend: A Backend.
-      heard_at: A float, when the borrower was last heard.
+      heard_at: A float, when the borrower was last heard from.
     Returns:
       A float.
     """
@@ -75,7 +76,7 @@
 
 
 def expire_loans(ledger, now):
-    """End the loans of borrowers that were silent for long enough.
+    """Remove the loans that have expired because their borrowers were silent.
 
     Args:
       ledger: A Ledger.
@@ -98,7 +99,7 @@
 
 
 def count_unaccounted(ledger, now):
-    """Count the slots that a lost home may have lent to whom nobody knows.
+    """Count the slots that a lost home may have lent to unknown borrowers.
 
     Args:
       ledger: A Ledger.
--- a/thornport/routing/lender.py
+++ b/thornport/routing/lender.py
@@ -1,12 +1,12 @@
-"""The home's side of slot sharing: what is lent to whom.
+"""The home's side of slot sharing: lends slots of backend servers to entries.
 
-Each backend server has one home among the entries, and only its home lends
-its slots. A loan is a limit on what a borrower may have running there, with a
-deadline. A lowered limit frees slots only when the borrower has confirmed it
-and its requests have ended; a silent borrower's loan ends at its deadline
+Each backend server has one home among the entries, and only its home lends its
+slots. A loan limits the requests that a borrower may have running there, and has a
+deadline. A lowered limit frees slots only when the borrower has confirmed it and the
+requests above it have ended. The loan of a silent borrower expires at its deadline
 plus the longest run of a request.
 
-Pure: messages and time in, messages out.
+This module does no I/O: it takes messages and times and returns messages.
 """
 
 from thornport.kernel import clock
@@ -14,24 +14,24 @@
 from thornport.routing import homes, ledgers, loans, shares
 
 UNKNOWN_BORROWER = "unknown"
-# How long a slot is lent where entries take turns: five looks of a home
-# (entry.sharing.TICK_S), so that moving it costs little of its use. With half as many
-# slots as entries, each has its turn within a second.
+# Duration of one turn where entries share a slot by turns: five ticks of a home
+# (entry.sharing.TICK_S), so that moving the slot costs little of its use. With half as
+# many slots as entries, each entry gets a turn within a second.
 TURN_S = 0.25
 
 
 class Lender:
-    """The ledgers of one home.
+    """Lends the slots of the backend servers that one entry is the home of.
 
     Attributes:
-      ledgers_by_address: A dict of Ledger.
+      ledgers_by_address: A dict of ledgers.Ledger.
     """
 
     def __init__(self, me):
-        """Start with nothing to lend.
+        """Start without backend servers.
 
         Args:
-          me: A str, the member id.
+          me: A str, the member id of this process.
         """
         self._me = me
         self._homes = homes.Homes()
@@ -43,18 +43,18 @@
         self._backends_by_address = {}
         self._row_by_service = {}
         self._borrowers_by_id = {}
-        # What was handed over is kept until it has run out, since the answer
-        # that carries it may be lost and asked for again.
+        # Ledgers that were handed over stay here until their loans have expired,
+        # since the Handoff may be lost and requested again.
         self._released_by_address = {}
         self.ledgers_by_address = {}
 
     @property
     def is_settled(self):
-        """Whether every former home has let go of what is now this one's."""
+        """Whether every former home has handed over its loans or been given up."""
         return 0 < self._opened_epoch == self._homes.ring.epoch
 
     def take_ring(self, ring, now):
-        """Take a new ring and find out whom to ask for what is now ours.
+        """Apply a new ring and determine which former homes to send a Takeover.
 
         Args:
           ring: A record.Ring of a higher epoch.
@@ -70,7 +70,7 @@
         self._settle_if_done(now)
 
     def list_to_ask(self, now):
-        """List the members whose word is awaited.
+        """List the former homes whose Handoff is awaited.
 
         Args:
           now: A float.
@@ -79,13 +79,13 @@
         """
         awaited, given_up = self._settling.list_to_ask(now)
         if given_up:
-            # They have left and handed nothing over after all.
+            # These members have left without handing over their loans.
             self._unaccounted_from = now
         self._settle_if_done(now)
         return awaited
 
     def take_handoff(self, sender_id, handoff, now):
-        """Take over the loans of a former home.
+        """Import the loans of a former home.
 
         Args:
           sender_id: A str.
@@ -104,8 +104,8 @@
         backend = self._backends_by_address.get(address)
         if backend is None:
             backend = ledgers.Backend(address, "", 0, 0.0)
-        # Another member may have been the last home and be lost, even where
-        # an earlier one hands something over.
+        # The last home may be lost even if an earlier home hands loans over, so
+        # slots may be unaccounted for here too.
         ledger = self.ledgers_by_address.setdefault(
             address, ledgers.Ledger(backend, self._unaccounted_from)
         )
@@ -122,14 +122,14 @@
         self._open_ledgers(now)
 
     def answer_takeover(self, sender_id, takeover, now):
-        """Let go of what is the sender's in the ring known here.
+        """Hand over the loans of the backend servers whose home is now the sender.
 
         Args:
           sender_id: A str.
           takeover: A loans.Takeover.
           now: A float.
         Returns:
-          A loans.Handoff, or None if this process knows another ring.
+          A loans.Handoff, or None if this process has another ring.
         """
         if not takeover.epoch or takeover.epoch != self._homes.ring.epoch:
             return None
@@ -148,7 +148,7 @@
         return loans.Handoff(takeover.epoch, handed)
 
     def _hand_over(self, ledger, now):
-        """List every loan, the unaccounted slots among them."""
+        """List all loans, with the unaccounted slots as one more loan."""
         ledgers.expire_loans(ledger, now)
         handed = {
             borrower: loans.HandedLoan(
@@ -165,10 +165,10 @@
         return handed
 
     def take_backends(self, backends_by_address, now):
-        """Take the backend servers that may be lent.
+        """Set the backend servers whose slots may be lent.
 
         Args:
-          backends_by_address: A dict of Backend, those leaving left out.
+          backends_by_address: A dict of Backend, without those that are leaving.
           now: A float.
         """
         self._backends_by_address = backends_by_address
@@ -190,21 +190,22 @@
             if ledger is None:
                 ledger = ledgers.Ledger(backend, self._unaccounted_from)
                 self.ledgers_by_address[address] = ledger
-            # Whoever was home in between may never have taken this over.
+            # A home in between may never have received the Handoff of these loans.
             released = self._released_by_address.pop(address, None)
             if released:
                 self._import_loans(address, self._hand_over(released, now), now)
             ledger.backend = backend
 
     def take_demand(self, borrower_id, demand, now):
-        """Take what a borrower says and renew its loans.
+        """Apply a borrower's demand and renew its loans.
 
         Args:
           borrower_id: A str.
           demand: A loans.Demand.
           now: A float.
         Returns:
-          A loans.Grants for it, or None for a message out of order.
+          A loans.Grants for the borrower, or None if the message is out of order or
+          this home is not settled.
         """
         known = self._borrowers_by_id.get(borrower_id)
         if known and demand.token <= known.token:
@@ -224,8 +225,8 @@
         loan = ledger.loans_by_id.setdefault(borrower_id, ledgers.Loan())
         loan.in_flight = hold.in_flight
         loan.expires_at = ledgers.compute_loan_end(ledger.backend, now)
-        # A loan handed over has no grant of this home yet (seq 0); a hold of
-        # seq 0 says only that the former home's grant is still on its way.
+        # An imported loan has no grant of this home yet (seq 0); a hold with seq 0
+        # only shows that the former home's grant is still in transit.
         if loan.seq and hold.seq == loan.seq:
             loan.peak = loan.limit
 
@@ -245,12 +246,12 @@
         return loans.Grants(borrower.token, ttl_ms, by_backend)
 
     def rebalance(self, now):
-        """Move limits towards what the demands call for.
+        """Adjust limits towards the shares that the demands call for.
 
         Args:
           now: A float.
         Returns:
-          A dict from borrower to loans.Grants, for those whose limits moved.
+          A dict from borrower to loans.Grants, for those whose limits changed.
         """
         if not self.is_settled:
             return {}
@@ -272,32 +273,32 @@
         return {borrower: self._make_grants(borrower) for borrower in sorted(heard)}
 
     def _allot(self, service, now):
-        """Allot the slots of a service to the borrowers that were heard."""
+        """Assign the slots of a service to the borrowers that were heard."""
         row = self._row_by_service[service]
         demand_by_id = {
             borrower_id: borrower.demand.get(service, {})
             for borrower_id, borrower in self._borrowers_by_id.items()
         }
         share_by_id = shares.share_slots(row.total, demand_by_id)
-        # Slots change hands by turns only where somebody would else go without.
+        # Slots rotate only if a borrower with demand would otherwise get none.
         is_short = shares.is_short(share_by_id, demand_by_id)
         turn = int(now / TURN_S) if is_short else 0
         return shares.Allotment(row, share_by_id, turn)
 
     def _move_limits(self, ledger, targets, now):
-        """Lower first; raise only by what is surely free."""
+        """Lower limits first; raise others only by slots that are certainly free."""
         ledgers.expire_loans(ledger, now)
         moved = set()
-        # An older home knew less than the last, and the last may be lost; then
-        # nothing is granted on the word of what was handed over.
+        # Loans handed over by an older home may be incomplete if the last home is
+        # lost. No limit is based on them while slots may be unaccounted for.
         is_known = now >= ledgers.compute_loan_end(
             ledger.backend, ledger.unaccounted_from
         )
         is_sound = is_known and ledgers.count_liable(ledger) <= ledger.backend.slots
         for borrower_id, loan in ledger.loans_by_id.items():
             target = targets.get(borrower_id, 0)
-            # A loan handed over is bounded here only once its borrower has
-            # taken a grant of this home.
+            # An imported loan is bound by this home's limit only once its borrower
+            # has applied a grant of this home.
             if target < loan.limit or (loan.peak and not loan.seq):
                 self._set_limit(loan, min(target, loan.peak) if is_sound else 0)
                 moved.add(borrower_id)
@@ -310,7 +311,7 @@
             if free <= 0:
                 break
             loan = ledger.loans_by_id.setdefault(borrower_id, ledgers.Loan())
-            # What it is already liable for may be lent to it at no cost.
+            # Slots that the borrower may already be using can be lent to it for free.
             raised = min(target, loan.liability + free)
             if raised > loan.limit:
                 before = loan.liability
@@ -332,7 +333,7 @@
                 del self._borrowers_by_id[borrower_id]
 
     def list_addresses(self):
-        """List the backend servers that this process is the home of.
+        """List the addresses of the backend servers whose home is this process.
 
         Returns:
           A list of str.
--- a/thornport/routing/loans.py
+++ b/thornport/routing/loans.py
@@ -9,11 +9,11 @@
 
 
 class Hold(msgspec.Struct, frozen=True):
-    """What a borrower says of one backend server.
+    """A borrower's report on one backend server.
 
     Attributes:
-      seq: An int, the newest grant it has taken.
-      in_flight: An int, requests it has running there, or may have.
+      seq: An int, the newest grant that the borrower has applied.
+      in_flight: An int, requests that the borrower has or may have running there.
     """
 
     seq: int
@@ -21,12 +21,12 @@
 
 
 class Demand(codec.Message):
-    """What a borrower has running and waiting.
+    """A borrower's running and waiting requests.
 
     Attributes:
-      token: A float, the borrower's clock; handed back with grants.
-      demand: By service, the count of requests running or waiting by price.
-      holds: By backend server, for those whose home is the receiver.
+      token: A float, the borrower's clock; returned with the grants.
+      demand: By service, the count of running or waiting requests by price.
+      holds: By address, for the backend servers whose home is the receiver.
     """
 
     token: float
@@ -42,12 +42,12 @@
 
 
 class Grants(codec.Message):
-    """Grants of one home to one borrower.
+    """The grants of one home to one borrower.
 
     Attributes:
       token: A float, from the borrower's newest demand.
-      ttl_ms: An int, how long the grants hold from the token on.
-      by_backend: A dict of Grant.
+      ttl_ms: An int, how long the grants are valid, counted from the token.
+      by_backend: A dict from address to Grant.
     """
 
     token: float
@@ -56,23 +56,23 @@
 
 
 class HandedLoan(msgspec.Struct, frozen=True):
-    """A loan as one home hands it to the next."""
+    """A loan that a former home hands over to the next."""
 
     liability: int
     remaining_ms: int
 
 
 class Takeover(codec.Message):
-    """A new home asks a former one to let go of all that is now its own."""
+    """A new home's request that a former home hand over its backend servers."""
 
     epoch: int
 
 
 class Handoff(codec.Message):
-    """The answer: what the former home had lent out.
+    """The answer to Takeover: the loans of the former home.
 
     Attributes:
-      epoch: An int, from the question.
+      epoch: An int, from the Takeover.
       by_backend: By backend server, the loans by borrower.
     """
 
@@ -81,6 +81,6 @@
 
 
 class BackendNews(codec.Message):
-    """A backend server said that it is leaving."""
+    """Reports that a backend server has announced that it is leaving."""
 
     backend: str
--- a/thornport/routing/loans_test.py
+++ b/thornport/routing/loans_test.py
@@ -1,8 +1,8 @@
-"""Property: a backend server never runs more requests than it has slots.
+"""Tests that a backend server never runs more requests than it has slots.
 
-Real lenders and borrowers are driven through delayed, lost and repeated
-messages, pauses, deaths, departures and joins. What the ring's guard promises
-is taken as given here: a member that was removed no longer lends.
+Real lenders and borrowers are driven through delayed, lost and repeated messages,
+pauses, crashes, departures and joins. The model assumes the guarantee of the ring's
+guard: a member that was removed no longer lends.
 """
 
 import math
@@ -26,7 +26,7 @@
 
 
 class Entry:
-    """One entry: both sides of slot sharing and its running requests."""
+    """An entry: its lender, its borrower and its running requests."""
 
     def __init__(self, member_id, ring, now):
         self.member_id = member_id
@@ -48,14 +48,14 @@
 
 
 class Model:
-    """Entries, the messages between them, and what backend servers run."""
+    """Simulates entries, the messages between them, and running requests."""
 
     def __init__(self, choices, members=3):
         self.choices = choices
         self.now = 100.0
         self.ring = record.NO_RING
         self.by_id = {}
-        self.flying = []
+        self.in_transit = []
         self.running_until_by_address = {address: [] for address in LISTED}
         self.started = 0
         for _ in range(members):
@@ -79,14 +79,14 @@
     def send(self, sender, target, message):
         for _ in range(self.choices.choice((0, 1, 1, 1, 1, 1, 2))):
             delay = self.choices.choice((0.0, 0.0, 0.0, 0.1, 0.3, 4.0))
-            self.flying.append((self.now + delay, sender, target, message))
+            self.in_transit.append((self.now + delay, sender, target, message))
 
     def deliver(self):
         due, later = [], []
-        for message in self.flying:
+        for message in self.in_transit:
             is_due = message[0] <= self.now and self.is_up(self.by_id[message[2]])
             (due if is_due else later).append(message)
-        self.flying = later
+        self.in_transit = later
         for _, sender, target, message in due:
             self.take(sender, self.by_id[target], message)
 
@@ -96,7 +96,7 @@
             answer = entry.lender.take_demand(sender, message, self.now)
         elif isinstance(message, loans.Grants):
             if entry.borrower.take_grants(message):
-                self.tell(entry, sender)
+                self.send_demand(entry, sender)
         elif isinstance(message, loans.Takeover):
             answer = entry.lender.answer_takeover(sender, message, self.now)
         elif isinstance(message, loans.Handoff):
@@ -104,18 +104,18 @@
         if answer:
             self.send(entry.member_id, sender, answer)
 
-    def tell(self, entry, home):
+    def send_demand(self, entry, home):
         demand = {price: self.choices.randrange(6) for price in PRICES}
-        said = entry.borrower.make_demand(
+        demand_message = entry.borrower.make_demand(
             entry.homes, home, {SERVICE: demand}, self.now
         )
-        self.send(entry.member_id, home, said)
+        self.send(entry.member_id, home, demand_message)
 
     def act(self, entry):
         if self.choices.random() < 0.5:
             entry.take_ring(self.ring, self.now)
         for home in sorted({entry.homes.find(address) for address in LISTED}):
-            self.tell(entry, home)
+            self.send_demand(entry, home)
         for member_id in entry.lender.list_to_ask(self.now):
             asked = loans.Takeover(entry.homes.ring.epoch)
             self.send(entry.member_id, member_id, asked)
@@ -158,7 +158,7 @@
         elif kind == "leave":
             self.remove(entry, handed_over=True)
         elif kind == "wake":
-            # It was paused for long, was removed, and now goes on.
+            # The entry is removed as after a long pause, and resumes.
             self.remove(entry, handed_over=False)
 
     def step(self):
@@ -176,16 +176,16 @@
 
 
 class Slots(unittest.TestCase):
-    """Slots are shared, never exceeded, and not lost for good."""
+    """Slots are shared, never exceeded, and recovered after a home is lost."""
 
     @hypothesis.settings(max_examples=80, derandomize=True, deadline=None)
     @hypothesis.given(st.integers(0, 2**32))
-    def test_never_over(self, seed):
+    def test_backend_never_exceeds_its_slots(self, seed):
         model = Model(random.Random(seed))
         for _ in range(300):
             model.step()
 
-    def test_all_slots_come_back_after_a_home_dies(self):
+    def test_all_slots_are_lent_again_after_a_home_is_lost(self):
         model = Model(random.Random(3))
         model.choices.random = lambda: 0.4
         model.disturb = lambda: None
@@ -207,17 +207,17 @@
 
 
 class Waiting(unittest.TestCase):
-    """Whoever waits gets a slot in time, however little it asks for.
+    """Every borrower with demand gets a slot in time, however small its demand.
 
-    An entry with one request waited for slots until the request's deadline, while the
-    other entries had the demand of a full load: each backend server rounded its share
-    of half a slot by itself, and all of them to nothing.
+    Guards against starving an entry with one request beside entries under full load,
+    until the request's deadline: its share of half a slot was rounded for each backend
+    server separately, each time to zero.
     """
 
     seconds = 2.0  # less than the deadline of a request
 
-    def find_starved(self, addresses, slots, wanted_by_id):
-        """List who gets no slot at all while the demands stay as they are."""
+    def find_starved_borrowers(self, addresses, slots, wanted_by_id):
+        """Find the borrowers that get no slot while demands stay constant."""
         me = record.Member("home", "home", "home", "home", "h0")
         ring = record.add_member(record.NO_RING, me, 0, 10**9)
         home = lender.Lender("home")
@@ -233,30 +233,30 @@
             for name, one in by_id.items():
                 one.take_listed(listed)
                 demand = {SERVICE: {10: wanted_by_id[name]}}
-                said = one.make_demand(known_homes, "home", demand, now)
-                one.take_grants(home.take_demand(name, said, now))
+                demand_message = one.make_demand(known_homes, "home", demand, now)
+                one.take_grants(home.take_demand(name, demand_message, now))
             for name, grants in home.rebalance(now).items():
                 by_id[name].take_grants(grants)
             starved -= {n for n, b in by_id.items() if b.count_limits(SERVICE, now)}
         return starved
 
     def check(self, backends, slots, wanted_by_id):
-        """Nobody is starved, whatever the addresses are."""
+        """Check that no borrower is starved, for several sets of addresses."""
         for first in range(20):
             addresses = [f"10.0.{first}.{n}:80" for n in range(backends)]
-            starved = self.find_starved(addresses, slots, wanted_by_id)
+            starved = self.find_starved_borrowers(addresses, slots, wanted_by_id)
             self.assertEqual(starved, set(), addresses)
 
-    def test_one_request_beside_a_full_load(self):
+    def test_one_request_beside_full_load_gets_a_slot(self):
         self.check(3, 2, {"e1": 1, "e2": 6, "e3": 5})
 
-    def test_one_request_beside_long_queues(self):
+    def test_one_request_beside_long_queues_gets_a_slot(self):
         self.check(3, 2, {"e1": 400, "e2": 1, "e3": 500})
 
-    def test_slots_are_free_elsewhere(self):
+    def test_every_borrower_gets_a_slot_under_low_demand(self):
         self.check(3, 2, {"e1": 1, "e2": 1, "e3": 2})
 
-    def test_more_entries_than_slots(self):
+    def test_every_borrower_gets_a_slot_with_more_entries_than_slots(self):
         self.check(1, 8, {f"e{n:02}": 30 for n in range(14)})
 
 
@@ -273,7 +273,9 @@
         st.integers(1, 24),
         st.integers(0, 10**6),
     )
-    def test_sums_are_exact_and_the_dearest_come_first(self, demands, backends, turn):
+    def test_shares_sum_to_total_and_highest_price_is_met_first(
+        self, demands, backends, turn
+    ):
         total = 8 * backends
         shared = shares.share_slots(total, demands)
         self.assertAlmostEqual(sum(shared.values()), total)
@@ -285,7 +287,7 @@
                 self.assertGreaterEqual(shared[one] + 1e-6, demand.get(dearest, 0))
 
     def check_whole(self, slots, backends, shared, turn):
-        """Slots of a backend server are all lent; each gets its share, rounded."""
+        """Check that all slots are lent and each share is rounded up or down."""
         row = shares.SlotRow({f"b{n}": slots for n in range(backends)})
         allotment = shares.Allotment(row, shared, turn)
         lent_by_id = dict.fromkeys(shared, 0)
--- a/thornport/routing/outcome.py
+++ b/thornport/routing/outcome.py
@@ -1,8 +1,8 @@
-"""The three outcomes of a request, and nothing between them.
+"""The outcome of a request: exactly one of three.
 
-`NOT_RUN` is said only when no byte of the request reached a backend server,
-or the backend server itself refused it. All else that is not a whole answer
-is `MAY_HAVE_RUN`.
+`NOT_RUN` is reported only if no byte of the request reached a backend server, or
+the backend server itself refused it. Anything else without a complete answer is
+`MAY_HAVE_RUN`.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a request."""
+    """How a request ended."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -19,7 +19,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was given up on."""
+    """Why a request has no answer."""
 
     BAD_REQUEST = "bad-request"
     UNKNOWN_SERVICE = "unknown-service"
@@ -43,7 +43,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer of a backend server.
+    """A complete answer from a backend server.
 
     Attributes:
       status: An int, the HTTP status.
@@ -62,8 +62,8 @@
     Attributes:
       outcome: NOT_RUN or MAY_HAVE_RUN.
       reason: A Reason.
-      detail: A str for a person.
-      retry_after_s: An int, when to come back; 0 if coming back is no use.
+      detail: A str, human-readable.
+      retry_after_s: An int, the delay before a retry; 0 if a retry is no use.
     """
 
     outcome: Outcome
@@ -73,7 +73,7 @@
 
 
 def not_run(reason, detail="", retry_after_s=0):
-    """Say that a request truly was not run.
+    """Make the outcome of a request that was certainly not run.
 
     Args:
       reason, detail, retry_after_s: As in GivenUp.
@@ -84,7 +84,7 @@
 
 
 def may_have_run(reason, detail="", retry_after_s=0):
-    """Say that a request may have run.
+    """Make the outcome of a request that may have run.
 
     Args:
       reason, detail, retry_after_s: As in GivenUp.
--- a/thornport/routing/request.py
+++ b/thornport/routing/request.py
@@ -1,4 +1,4 @@
-"""A caller's request: its headers checked and turned into a typed value."""
+"""Validates the headers of a caller's request and converts it to a typed value."""
 
 import hashlib
 from typing import Annotated
@@ -25,19 +25,18 @@
 
 
 class Request(msgspec.Struct):
-    """One request, from its arrival to its outcome.
+    """A request, from its arrival to its outcome.
 
     Attributes:
-      request_id: A str; the caller's key if there is one.
+      request_id: A str; the caller's idempotency key if there is one.
       service, workspace, tier: Names in the settings.
-      price: An int, that of the tier.
-      deadline: A float on the monotonic clock; past it no answer is of use.
-      repeatable: A bool, whether running it twice does no harm.
-      key: A str, the caller's own; empty if none.
-      path: A str, what follows the service in the URL.
+      price: An int, the price of the tier.
+      deadline: A float on the monotonic clock; a later answer is useless.
+      repeatable: A bool, whether the request may safely run twice.
+      key: A str, the caller's idempotency key; empty if none.
       content_type: A str.
       body: Bytes.
-      attempts: An int, dispatches so far that may have run.
+      attempts: An int, dispatches so far that may have run the request.
     """
 
     request_id: str
@@ -55,7 +54,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A request that is wrong in itself.
+    """The rejection of an invalid request.
 
     Attributes:
       status: An int, the HTTP status, 4xx.
@@ -67,12 +66,12 @@
 
 
 def refuse(status, reason, detail):
-    """Make a refusal.
+    """Make a failed result with a refusal.
 
     Args:
       status: An int.
       reason: An outcome.Reason.
-      detail: A str naming the header or part at fault.
+      detail: A str naming the invalid header or part.
     Returns:
       A Failure of Refusal.
     """
@@ -80,14 +79,14 @@
 
 
 def read_request(config, service_name, get_header, body, request_id, now):
-    """Check a request against the settings in force.
+    """Validate a request against the settings in force.
 
     Args:
       config: A compiling.Config.
       service_name: A str from the URL.
       get_header: A callable from a header's name to a str or None.
       body: Bytes, the whole body.
-      request_id: A str, used if the caller brings no key.
+      request_id: A str, used if the caller sends no idempotency key.
       now: A float on the monotonic clock.
     Returns:
       A Result of Request or Refusal.
@@ -132,12 +131,12 @@
 
 
 def check_headers(get_header):
-    """Check the headers whose values do not depend on the settings.
+    """Validate the headers whose values do not depend on the settings.
 
     Args:
       get_header: A callable from a header's name to a str or None.
     Returns:
-      A str naming every header at fault, or an empty str.
+      A str naming every invalid header, or an empty str.
     """
     faults = []
     deadline = get_header(HEADER_DEADLINE_MS)
@@ -155,7 +154,7 @@
 
 
 def digest_request(request):
-    """Digest what a key stands for, to notice a key used for two requests.
+    """Hash a request, to detect that a key is reused for a different request.
 
     Args:
       request: A Request.
--- a/thornport/routing/retries.py
+++ b/thornport/routing/retries.py
@@ -1,36 +1,36 @@
-"""The budget of retries: a share of requests, so that retries cannot storm.
+"""A retry budget in proportion to requests, which prevents retry storms.
 
-Pure: counts in, permission out. Each request earns a fraction of a retry and
-each retry costs a whole one, so when everything fails at once, the load on
-backend servers grows by that fraction and no more.
+Each request earns a fraction of a retry and each retry costs a whole one. If all
+requests fail at once, the load on backend servers grows by no more than that
+fraction and the retries saved before. This module does no I/O.
 """
 
 MAX_SAVED_RETRIES = 20.0
 
 
 class RetryBudget:
-    """The retries that one service may still make at one entry."""
+    """The retry budget of one service at one entry."""
 
     __slots__ = ("_ratio", "_saved")
 
     def __init__(self, ratio):
-        """Start with a few saved, so that a quiet service may retry.
+        """Start with half the maximum saved, so that an idle service may retry.
 
         Args:
-          ratio: A float, retries per request.
+          ratio: A float, retries earned per request.
         """
         self._ratio = ratio
         self._saved = MAX_SAVED_RETRIES / 2
 
     def earn(self):
-        """Count a request."""
+        """Add the share of a retry that one request earns."""
         self._saved = min(MAX_SAVED_RETRIES, self._saved + self._ratio)
 
     def spend(self):
-        """Ask for a retry.
+        """Spend one retry if the budget allows it.
 
         Returns:
-          A bool, whether it may be made.
+          A bool, whether the retry may be made.
         """
         if self._saved < 1.0:
             return False
--- a/thornport/routing/shares.py
+++ b/thornport/routing/shares.py
@@ -1,7 +1,7 @@
-"""How the slots of a service are shared between entries, by tier and demand.
+"""Divides the slots of a service between entries by price and demand.
 
-Each home decides for its own backend servers from the same demands, so the
-sums come out right without the homes asking each other.
+Each home divides the slots of its own backend servers from the same demands, so the
+totals are consistent without coordination between homes.
 """
 
 import bisect
@@ -10,23 +10,23 @@
 
 import xxhash
 
-# Successive multiples of the golden ratio's fraction fall into every part of the
-# unit interval as evenly as any sequence can.
+# Successive multiples of the golden ratio's fractional part cover the unit interval as
+# evenly as any sequence can.
 TURN_STEP = 2_654_435_769
 TURN_RANGE = 2**32
 
 
 def share_slots(total_slots, demand_by_id):
-    """Share the slots of a service between borrowers.
+    """Divide the slots of a service between borrowers.
 
-    The demand at the highest price is met first. Where it cannot be met whole, each
-    that asks gets one slot, or an equal part of one, and the rest goes in proportion:
-    a short queue beside long ones is served and not starved. What nobody asks for is
-    spread evenly, so that a borrower that is idle now has slots at once when a
-    request comes.
+    Demand is met by descending price. At a price where it cannot be met in full, each
+    borrower with demand gets one slot, or an equal part of one, and the rest is divided
+    in proportion to demand, so that a short queue beside long ones is not starved.
+    Slots without demand are divided evenly, so that an idle borrower has slots as soon
+    as a request arrives.
 
     Args:
-      total_slots: An int, slots of all backend servers of the service.
+      total_slots: An int, the slots of all backend servers of the service.
       demand_by_id: A dict from borrower to a dict from price to a count.
     Returns:
       A dict from borrower to an int or a Fraction; they sum to total_slots.
@@ -51,14 +51,14 @@
 
 
 def meet_demand(wanted_by_id, left):
-    """Meet the demand at one price, as far as slots go.
+    """Divide the remaining slots between borrowers with demand at one price.
 
     Args:
       wanted_by_id: A dict from borrower to a count above 0.
-      left: An int, the slots that are left.
+      left: An int, the remaining slots.
     Returns:
-      A dict from borrower to an int or a Fraction; they sum to what is left, if more
-      is wanted.
+      A dict from borrower to an int or a Fraction; they sum to `left` if the demand is
+      higher.
     """
     wanted = sum(wanted_by_id.values())
     if wanted <= left:
@@ -73,20 +73,20 @@
 
 
 class SlotRow:
-    """The slots of a service in a row, which all homes know alike.
+    """All slots of a service in a fixed order, which every home computes alike.
 
-    Neighbours in the row are of different backend servers, so that a borrower's slots
-    are spread over many.
+    The order goes round the backend servers slot by slot, so that a borrower's slots
+    are spread over many backend servers.
 
     Attributes:
-      total: An int, slots of the service.
-      positions_by_backend: A dict from backend server to a list of ints.
+      total: An int, the slots of the service.
+      positions_by_backend: A dict from address to a list of positions in the row.
     """
 
     __slots__ = ("positions_by_backend", "total")
 
     def __init__(self, slots_by_backend):
-        """Put the slots in a row.
+        """Compute the position of each slot.
 
         Args:
           slots_by_backend: A dict from the address of a backend server to an int.
@@ -104,24 +104,24 @@
 
 
 def hash_address(address):
-    """Hash an address, for an order that has nothing to do with halls."""
+    """Hash an address, for an order that is independent of data halls."""
     return xxhash.xxh3_64_intdigest(address.encode())
 
 
 class Allotment:
-    """Who has which slot of a row, as whole slots.
+    """Assigns each slot of a row to one borrower.
 
-    Borrowers stand along the row, each as long as its share, and a slot is whose it
-    is that stands at its place. Each gets its share rounded up or down over all
-    backend servers together, so a share of one slot or more is never rounded to none.
-    The places move with turns: a share of less than a slot has one for that part of
-    the turns.
+    The row is divided into one interval per borrower, as long as its share, and a slot
+    belongs to the borrower whose interval contains its position. Shares are rounded up
+    or down over all backend servers together, so a share of at least one slot is never
+    rounded to zero. The intervals are shifted on each turn, so that a borrower with a
+    share of less than one slot has a slot for that fraction of the turns.
     """
 
     __slots__ = ("_borrowers", "_row", "_starts")
 
     def __init__(self, row, share_by_id, turn):
-        """Allot all slots.
+        """Assign all slots.
 
         Args:
           row: A SlotRow.
@@ -139,7 +139,7 @@
             reached += share_by_id[borrower]
 
     def count_by_id(self, backend):
-        """Count the slots of a backend server that each borrower has.
+        """Count the slots of a backend server that are assigned to each borrower.
 
         Args:
           backend: A str.
@@ -156,7 +156,7 @@
 
 
 def is_short(share_by_id, demand_by_id):
-    """Whether some borrower that asks for a slot has less than one.
+    """Check whether any borrower with demand has a share of less than one slot.
 
     Args:
       share_by_id: A dict from borrower to an int or a Fraction.
