--- a/thornport/entry/contact_test.py
+++ b/thornport/entry/contact_test.py
@@ -13,7 +13,7 @@
     def test_is_lost_before_the_first_contact(self):
         self.assertTrue(contact.Contact().is_lost(NOW))
 
-    def test_is_lost_cut_off_s_after_the_last_contact(self):
+    def test_is_lost_a_fixed_time_after_the_last_contact(self):
         link = contact.Contact()
         link.note(NOW)
         self.assertFalse(link.is_lost(NOW))
--- a/thornport/entry/front.py
+++ b/thornport/entry/front.py
@@ -12,7 +12,7 @@
 
 TICK_S = 0.05
 MAX_ATTEMPTS = 4  # of a request, counting only attempts that may have run
-# The backend server has done no work for the request and is not sent another.
+# The backend server has done no work for the request and receives no further ones.
 NOT_ACCEPTED = (outcome.Reason.REFUSED, outcome.Reason.UNREACHABLE)
 
 
--- a/thornport/entry/front_test.py
+++ b/thornport/entry/front_test.py
@@ -55,7 +55,7 @@
         self.borrower.take_grants(loans.Grants(now, FOR_LONG_MS, grants))
 
     def mark_unreachable(self, address):
-        """Mark a backend server as unreachable."""
+        """Pass the address on to the borrower."""
         self.borrower.mark_unreachable(address)
 
     def send_demands_soon(self):
--- a/thornport/entry/sharing.py
+++ b/thornport/entry/sharing.py
@@ -94,7 +94,7 @@
         return True
 
     def mark_unreachable(self, address):
-        """Mark a backend server as unreachable.
+        """Mark a backend server as unreachable: no connection to it can be made.
 
         Its slots are not lent either, or an entry might hold only unreachable slots.
         """
@@ -138,7 +138,7 @@
             self._node.send(home_id, message)
 
     def send_demands_soon(self):
-        """Send the demand to all homes after a short delay, once for many calls."""
+        """Send the demand to all homes shortly; several calls send it once."""
         if self._pending is None:
             self._pending = self._reactor.callLater(
                 DEMAND_DELAY_S, self._send_demands_now
--- a/thornport/entry/waiting.py
+++ b/thornport/entry/waiting.py
@@ -35,22 +35,22 @@
             if target:
                 return defer.succeed(target)
         slots = self._sharing.borrower.count_limits(request.service, now)
-        waiting, given_up_on = service.queue.offer(request, slots, now)
+        waiting, shed = service.queue.offer(request, slots, now)
         slot_found = defer.Deferred()
         if waiting:
             self._slot_by_waiting[waiting] = slot_found
-        self._give_up(given_up_on)
+        self._give_up(shed)
         if not waiting:
-            return defer.succeed(given_up_on[0].given_up)
+            return defer.succeed(shed[0].given_up)
         self._sharing.send_demands_soon()
         return slot_found
 
-    def _give_up(self, given_up_on):
-        """Resolve at once the requests that leave the queue."""
-        for entry in given_up_on:
-            slot_found = self._slot_by_waiting.pop(entry.waiting, None)
+    def _give_up(self, shed):
+        """Resolve at once the requests that are shed from the queue."""
+        for shed_request in shed:
+            slot_found = self._slot_by_waiting.pop(shed_request.waiting, None)
             if slot_found:
-                slot_found.callback(entry.given_up)
+                slot_found.callback(shed_request.given_up)
 
     def pump(self):
         """Assign free slots to waiting requests."""
