--- a/thornport/platform/__init__.py
+++ b/thornport/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls. Nothing here decides."""
+"""Adapter to the users' platform: names, formats and calls, without decisions."""
--- a/thornport/platform/__main__.py
+++ b/thornport/platform/__main__.py
@@ -33,8 +33,8 @@
 from thornport.store import health  # noqa: E402
 
 SETTINGS_VARIABLE = "THORNPORT_SETTINGS"
-STORE_TIMEOUT_S = 0.6  # a slow store answers within it
-ORDER_TIMEOUT_S = 0.25  # for a worker's answer to an order
+STORE_TIMEOUT_S = 0.6  # long enough for a slow store
+COMMAND_TIMEOUT_S = 0.25  # for a worker's answer to a start or stop command
 
 
 def make_ports(calls, process_settings, counters):
@@ -53,7 +53,7 @@
     client.on_late = checked.note_late_answer
     return ports.Ports(
         checked,
-        workers.WorkerClient(calls, ORDER_TIMEOUT_S),
+        workers.WorkerClient(calls, COMMAND_TIMEOUT_S),
         advice.AdviceClient(calls, services.advice),
         config.CONFIG_KEY,
         config.decode_config,
@@ -80,7 +80,7 @@
 
 
 def reload(path):
-    """Check changed settings; what they name is bound at the start only."""
+    """Check changed settings; addresses in them are bound only at process start."""
     try:
         daemons.load(path, settings.parse_settings)
         logs.log("settings-reloaded", path=path)
@@ -89,7 +89,7 @@
 
 
 def main():
-    """Run the process."""
+    """Run the scheduler process."""
     path = os.environ.get(SETTINGS_VARIABLE) or sys.argv[1]
     process_settings = daemons.load_or_exit(path, settings.parse_settings)
     logs.start_logging(
@@ -107,16 +107,18 @@
         counters,
     )
     listening = process_settings.listen
-    taken = scheduler.serving.open_requests
+    open_requests = scheduler.serving.open_requests
     bound = {
-        "http": listen(listening.jobs, ingress.make_app(scheduler), taken),
-        "ready": listen(listening.ready, ingress.make_ready_app(scheduler), taken),
+        "http": listen(listening.jobs, ingress.make_app(scheduler), open_requests),
+        "ready": listen(
+            listening.ready, ingress.make_ready_app(scheduler), open_requests
+        ),
     }
     if listening.metrics_port is not None:
-        shown = f"{listening.ip}:{listening.metrics_port}"
+        metrics_address = f"{listening.ip}:{listening.metrics_port}"
         internal = metricsweb.make_app(counters)
         web.add_routes(internal, scheduler)
-        bound["metrics"] = listen(shown, internal, taken)
+        bound["metrics"] = listen(metrics_address, internal, open_requests)
     reactor.callWhenRunning(scheduler.start)
     reactor.callWhenRunning(lambda: logs.log("listening", **bound))
     reactor.callWhenRunning(daemons.stop_on_term, reactor, scheduler)
--- a/thornport/platform/advice.py
+++ b/thornport/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's advice service over HTTP."""
+"""HTTP client of the platform's advice service."""
 
 import msgspec
 from returns import result
@@ -9,14 +9,14 @@
 
 
 class WireRequest(msgspec.Struct, frozen=True):
-    """The body of a call for advice."""
+    """The body of an advice request."""
 
     step: str
     workers: list[str]
 
 
 class WireAdvice(msgspec.Struct, frozen=True):
-    """The answer: rows of worker id and ticket."""
+    """The answer; each row of `good` is a worker id and its ticket."""
 
     good: list[tuple[str, str]]
     valid_ms: int
@@ -26,11 +26,11 @@
     """Calls the advice service."""
 
     def __init__(self, calls, address):
-        """Take the ways to call.
+        """Initialize the client.
 
         Args:
           calls: An httpcalls.HttpCalls.
-          address: A str, `IP:PORT`; empty when there is no such service.
+          address: A str, `IP:PORT`; empty if there is no advice service.
         """
         self._calls = calls
         self._address = address
@@ -42,7 +42,7 @@
           request: A messages.AdviceRequest.
           timeout_s: A float, seconds.
         Returns:
-          A Result of messages.AdviceAnswer or of a str saying why there is none.
+          A Result of messages.AdviceAnswer or, as the failure, a str with the reason.
         """
         wire = WireRequest(names.format_step(request.step), list(request.worker_ids))
         called = await self._calls.call(
--- a/thornport/platform/config.py
+++ b/thornport/platform/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration, `op/config`, decoded into the project's own."""
+"""The platform's configuration, `op/config`, decoded into queues and workspaces."""
 
 from typing import Annotated
 
@@ -10,7 +10,7 @@
 
 
 class WireAdviceTerms(msgspec.Struct, frozen=True):
-    """`advice` of a route."""
+    """The `advice` field of a route."""
 
     decide_ms: float = 0.0
     each_ms: float = 0.0
@@ -18,7 +18,7 @@
 
 
 class WireRoute(msgspec.Struct, frozen=True):
-    """A route, which is a queue of jobs on these deployments."""
+    """A route, which stands for a queue of jobs."""
 
     name: str
     host: str
@@ -33,20 +33,20 @@
 
 
 class WireService(msgspec.Struct, frozen=True):
-    """A service, which is a pool of workers."""
+    """A service, which stands for a pool of workers."""
 
     name: str
     rejects_overload: bool = False
 
 
 class WireLimits(msgspec.Struct, frozen=True):
-    """`limits`."""
+    """The `limits` field of the configuration."""
 
     max_body_bytes: int = 262_144
 
 
 class WireLimit(msgspec.Struct, frozen=True):
-    """`max_items` of a tenant; 0 of a resource means no limit, none may be absent."""
+    """The `max_items` field of a tenant; 0 means no limit, and all are required."""
 
     cpu: spec.Count  # thousandths of a core
     mem_mb: spec.Count
@@ -54,7 +54,7 @@
 
 
 class WireTenant(msgspec.Struct, frozen=True):
-    """A tenant, which is a workspace; its `priority` orders nothing here."""
+    """A tenant, which stands for a workspace; its `priority` is ignored."""
 
     name: Annotated[str, msgspec.Meta(min_length=1)]
     max_items: WireLimit
@@ -66,7 +66,8 @@
     """The whole configuration.
 
     Attributes:
-      tenants: Each is decoded by itself: one that is wrong leaves the rest in force.
+      tenants: Each is decoded separately, so that an invalid one leaves the rest in
+        force.
     """
 
     version: int
@@ -84,7 +85,7 @@
     Returns:
       A queue.Config.
     Raises:
-      msgspec.MsgspecError: The bytes are no configuration.
+      msgspec.MsgspecError: The bytes are not a valid configuration.
     """
     wire = msgspec.json.decode(value, type=WireConfig)
     return queue.Config(
@@ -103,16 +104,18 @@
     Args:
       tenants: A list of msgspec.Raw.
     Returns:
-      A workspace.Workspaces; what can't be decoded is among its `bad`.
+      A workspace.Workspaces; tenants that can't be decoded are in its `bad`.
     """
-    found = []
+    workspaces = []
     bad = []
     for number, raw in enumerate(tenants):
         try:
-            found.append(decode_workspace(msgspec.json.decode(raw, type=WireTenant)))
+            workspaces.append(
+                decode_workspace(msgspec.json.decode(raw, type=WireTenant))
+            )
         except (msgspec.MsgspecError, RecursionError) as error:
             bad.append(workspace.BadWorkspace(f"tenants[{number}]", str(error)))
-    return workspace.Workspaces(found, bad)
+    return workspace.Workspaces(workspaces, bad)
 
 
 def decode_workspace(wire):
--- a/thornport/platform/entries.py
+++ b/thornport/platform/entries.py
@@ -1,4 +1,4 @@
-"""The entries of workers in the platform's store."""
+"""Worker entries in the platform's store."""
 
 import ipaddress
 import re
@@ -14,13 +14,13 @@
 MAX_PORT = 65_535
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
-# `born`: when a life of a worker started, in milliseconds since 1970. Workers that keep
-# to the earlier pages leave it out; null or a fraction is no worker's.
+# `born`: when an incarnation of a worker started, in milliseconds since 1970. Workers
+# that follow earlier pages of the platform omit it; none writes null or a fraction.
 Born = Annotated[int, msgspec.Meta(ge=0)] | msgspec.UnsetType
 
 
-class WireRoom(msgspec.Struct, frozen=True):
-    """`capacity` of a worker."""
+class WireCapacity(msgspec.Struct, frozen=True):
+    """The `capacity` field of a worker."""
 
     cpu: Count  # thousandths of a core
     mem_mb: Count
@@ -30,35 +30,35 @@
 class WireEntry(msgspec.Struct, frozen=True):
     """The value under `servers/ID`.
 
-    Whoever else writes there leaves fields out, so those that workers always give are
-    asked for, also where nothing here uses them.
+    Fields that workers always write are required, even if unused here: other writers
+    under this prefix omit some, which shows that a value is not a worker's entry.
     """
 
     service: str
     address: str
     zone: str
-    version: str  # of its software
+    version: str  # of the worker's software
     slots: Count
     state: str
     cold_remaining_ms: Count
     seq: int
-    capacity: WireRoom
-    labels: list[str]  # its kind, then its rack
+    capacity: WireCapacity
+    labels: list[str]  # the worker's kind, then its rack
     remaining_ms: Count = 0
     born: Born = msgspec.UNSET
 
 
 class EntryError(Exception):
-    """A value in the store is no entry of a worker."""
+    """A value in the store is not a valid worker entry."""
 
 
 def check_names(worker_id, address):
-    """Check what goes into a call: a worker's id is a header of it.
+    """Check a worker's id, which is sent as a header of calls, and its address.
 
     Args:
       worker_id, address: A str each.
     Raises:
-      ValueError: It can't be the id of a worker, or is not `IP:PORT`.
+      ValueError: The id is not valid, or the address is not `IP:PORT`.
     """
     if not WORKER_ID.fullmatch(worker_id):
         raise ValueError(f"no worker id: {worker_id!r}")
@@ -77,7 +77,7 @@
     Returns:
       A messages.WorkerEntry.
     Raises:
-      EntryError: The bytes are no such entry.
+      EntryError: The bytes are not a valid worker entry.
     """
     try:
         wire = msgspec.json.decode(value, type=WireEntry)
@@ -85,14 +85,14 @@
         state = messages.WorkerState(wire.state)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise EntryError(str(error)) from error
-    room = wire.capacity
+    capacity = wire.capacity
     return messages.WorkerEntry(
         worker_id,
         wire.address,
         wire.service,
         wire.zone,
         state,
-        spec.Demand(room.cpu, room.mem_mb, room.gpu),
+        spec.Demand(capacity.cpu, capacity.mem_mb, capacity.gpu),
         frozenset(wire.labels),
         wire.labels[1] if len(wire.labels) > 1 else "",
         wire.remaining_ms,
@@ -101,5 +101,5 @@
 
 
 def read_start(born):
-    """Read when a life started: an int, or None when it was not said."""
+    """Read the start time of an incarnation: an int, or None if it was omitted."""
     return None if born is msgspec.UNSET else born
--- a/thornport/platform/entries_test.py
+++ b/thornport/platform/entries_test.py
@@ -1,4 +1,4 @@
-"""Entries of workers; of those that some other writer made none names one to use."""
+"""Worker entries; values by other writers are never taken for workers."""
 
 import base64
 import unittest
@@ -26,15 +26,15 @@
 
 
 def decode(worker_id="i-1", **changes):
-    """Decode an entry with some fields changed; None takes one out."""
+    """Decode an entry with some fields changed; an empty text removes a field."""
     changed = {key: value for key, value in (ENTRY | changes).items() if value != ""}
     return entries.decode_entry(worker_id, msgspec.json.encode(changed))
 
 
 class Entry(unittest.TestCase):
-    """The entry of a worker."""
+    """A valid worker entry."""
 
-    def test_every_field_finds_its_name(self):
+    def test_fields_are_decoded(self):
         wire = {
             "service": "press",
             "address": "10.0.0.9:80",
@@ -57,27 +57,27 @@
 
 
 class ForeignEntries(unittest.TestCase):
-    """What can't be the entry of a worker is told as such, whatever it is."""
+    """Any value that is not a worker entry raises EntryError."""
 
-    def test_entry_of_a_worker(self):
+    def test_valid_entry_is_accepted(self):
         entry = decode()
         self.assertEqual(entry.total.accelerators, 2)
         self.assertEqual((entry.rack, entry.labels), ("r1", {"a", "r1"}))
         self.assertEqual(decode(more="unknown").total, entry.total)
 
-    def test_start_of_the_life_is_a_whole_number_or_is_not_said(self):
+    def test_start_time_is_a_whole_number_or_omitted(self):
         self.assertIsNone(decode().started_at_ms)
         self.assertEqual(decode(born=1_785_945_137_905).started_at_ms, 1785945137905)
         for value in (None, 1.5, 1.0, "1785945137905", True, -1, [1]):
             with self.subTest(value=value), self.assertRaises(entries.EntryError):
                 decode(born=value)
 
-    def test_each_field_missing(self):
+    def test_each_field_is_required(self):
         for name in ENTRY:
             with self.subTest(name=name), self.assertRaises(entries.EntryError):
                 decode(**{name: ""})
 
-    def test_each_field_of_another_type(self):
+    def test_each_field_of_another_type_is_rejected(self):
         for name in ENTRY:
             for value in (None, 1.5, True, [1], {"a": 1}, -1 if name != "seq" else []):
                 with (
@@ -86,11 +86,11 @@
                 ):
                     decode(**{name: value})
 
-    def test_state_that_is_not_known(self):
+    def test_unknown_state_is_rejected(self):
         with self.assertRaises(entries.EntryError):
             decode(state="resting")
 
-    def test_address_that_is_none(self):
+    def test_invalid_address_is_rejected(self):
         for address in (
             "nowhere",
             "10.0.0.1",
@@ -102,7 +102,7 @@
             with self.subTest(address=address), self.assertRaises(entries.EntryError):
                 decode(address=address)
 
-    def test_id_that_can_not_go_into_a_call(self):
+    def test_id_that_is_not_a_valid_header_is_rejected(self):
         for worker_id in ("", "i-1\r\nHost: x", "a b", "i/1"):
             with (
                 self.subTest(worker_id=worker_id),
@@ -110,15 +110,15 @@
             ):
                 decode(worker_id)
 
-    def test_bytes_that_can_not_be_read(self):
+    def test_undecodable_bytes_are_rejected(self):
         deep = b'{"service":' + b"[" * 100_000
         for value in (b"", b"\xff\xfe", b"\x00", b"null", b"[]", b"{", b'"x"', deep):
             with self.subTest(value=value[:12]), self.assertRaises(entries.EntryError):
                 entries.decode_entry("i-1", value)
 
 
-class ValuesBesideOneAnother(unittest.TestCase):
-    """A value that can't be decoded costs nothing beside it in an answer."""
+class UndecodableValues(unittest.TestCase):
+    """An undecodable value does not affect the other values of the same answer."""
 
     def test_page_and_watch(self):
         good = base64.b64encode(b"good").decode()
--- a/thornport/platform/ingress.py
+++ b/thornport/platform/ingress.py
@@ -1,4 +1,4 @@
-"""The platform's callers over HTTP: jobs, their state, cancels and counts."""
+"""HTTP interface for callers: submits, reads, cancels and counts jobs."""
 
 import klein
 import msgspec
@@ -28,7 +28,7 @@
 
 
 def make_app(daemon):
-    """Make the interface for callers.
+    """Make the HTTP interface for callers.
 
     Args:
       daemon: A daemon.SchedulerDaemon.
@@ -53,7 +53,7 @@
         caller = identified.unwrap()
         rest = path.removeprefix(queue.path_prefix)
         if not daemon.is_ready():
-            # So that the caller's next connection goes to another process.
+            # Makes the caller's next connection go to another process.
             request.setHeader("Connection", "close")
         if request.method == b"GET" and not rest:
             return await count_waiting(daemon, request, queue)
@@ -71,7 +71,7 @@
 
 
 def make_ready_app(daemon):
-    """Make the interface that the balancer asks.
+    """Make the readiness interface for the load balancer.
 
     Args:
       daemon: A daemon.SchedulerDaemon.
@@ -89,7 +89,7 @@
 
 
 async def submit(daemon, request, queue, job_id, caller):
-    """Take a job."""
+    """Submit a job."""
     body = request.content.read()
     if len(body) > daemon.config.max_body_bytes:
         return webreply.answer(request, 413, webreply.Problem("the body is too large"))
@@ -98,15 +98,15 @@
     except spec.SpecError as error:
         return webreply.answer(request, 400, webreply.Problem(str(error)))
     now = clock.read_monotonic()
-    kept = record.make_record(job_id, queue, job, caller)
-    outcome = await daemon.serving.submit(kept, read_deadline(request, now))
+    job_record = record.make_record(job_id, queue, job, caller)
+    outcome = await daemon.serving.submit(job_record, read_deadline(request, now))
     if isinstance(outcome, intake.Accepted):
         return webreply.answer(request, 200, WireState(record.JobState.QUEUED.value))
     return web.answer_not_accepted(request, outcome)
 
 
 async def read_state(daemon, request, job_id, caller):
-    """Answer the state of a job."""
+    """Answer with the state of a job."""
     deadline = read_deadline(request, clock.read_monotonic())
     read = await daemon.serving.read_state(job_id, caller, deadline)
     if isinstance(read, result.Failure):
@@ -129,7 +129,7 @@
 
 
 async def count_waiting(daemon, request, queue):
-    """Answer how many jobs of a queue have not begun."""
+    """Answer with the number of jobs of a queue that have not begun."""
     deadline = read_deadline(request, clock.read_monotonic())
     read = await daemon.serving.count_waiting(queue.name, deadline)
     if isinstance(read, result.Failure):
@@ -143,13 +143,13 @@
 
 
 def read_deadline(request, now):
-    """Read when the caller gives up.
+    """Read the deadline of a request.
 
     Args:
       request: A twisted request.
-      now: A float.
+      now: A float, monotonic seconds.
     Returns:
-      A float.
+      A float, monotonic seconds.
     """
     text = request.getHeader(DEADLINE_HEADER) or ""
     wait_ms = int(text) if text.isdigit() else DEFAULT_DEADLINE_MS
--- a/thornport/platform/ingress_test.py
+++ b/thornport/platform/ingress_test.py
@@ -1,4 +1,4 @@
-"""What the platform's callers are told that are not let in."""
+"""Answers to callers of the platform that are denied access."""
 
 import unittest
 
@@ -13,7 +13,7 @@
     """A caller of the platform's interface."""
 
     def ask(self, denial):
-        """Hand in a job; returns the request that was answered."""
+        """Submit a job; returns the answered request."""
         daemon = self.make_daemon(denial)
         daemon.configuring.find_queue.return_value = QUEUE
         request = self.make_request(ingress.KEY_HEADER, b"no-key")
@@ -23,7 +23,7 @@
         self.take(ingress.make_app(daemon), daemon, QUEUE, "take", request)
         return request
 
-    def test_unknown_key_is_told_without_the_scheme_of_another_interface(self):
+    def test_unknown_key_is_refused_without_an_authentication_scheme(self):
         self.check_unknown(None)
 
 
--- a/thornport/platform/jobs.py
+++ b/thornport/platform/jobs.py
@@ -1,4 +1,4 @@
-"""A job as the platform's callers write it, decoded into the project's own."""
+"""Jobs as the platform's callers encode them, decoded into spec.Job."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class WireStep(msgspec.Struct, frozen=True):
-    """A step; what is 0, false or empty is left out on the wire."""
+    """A step; fields that are 0, false or empty are omitted on the wire."""
 
     count: spec.Count = 1
     cpu: spec.Count = 0  # thousandths of a core, for each task
@@ -19,7 +19,7 @@
     same_rack: bool = False
     constraints: str = ""  # a label
     affinity: str = ""  # the rack that holds the data
-    anti_affinity: spec.Count = 0  # most tasks of the step on one worker
+    anti_affinity: spec.Count = 0  # the most tasks of the step on one worker
     speculative: bool = False
     long_running: bool = False
     image: str = ""
@@ -46,7 +46,7 @@
     Returns:
       A spec.Job.
     Raises:
-      spec.SpecError: The body is no job, with the place of the fault.
+      spec.SpecError: The body is not a valid job; the text names the faulty field.
     """
     try:
         wire = msgspec.json.decode(body, type=WireJob)
--- a/thornport/platform/names.py
+++ b/thornport/platform/names.py
@@ -1,15 +1,15 @@
-"""Steps and tasks as the platform names them."""
+"""Names of steps and tasks on the platform."""
 
 from thornport.cell.decisions import messages
 
 
 def format_step(step):
-    """Format a StepKey as the platform names steps."""
+    """Format a StepKey as the platform's name of the step."""
     return f"{step.job_id}.{step.time}.{step.step}"
 
 
 def format_task(key):
-    """Format a TaskKey as the platform names tasks."""
+    """Format a TaskKey as the platform's name of the task."""
     return f"{key.job_id}.{key.name_in_job()}"
 
 
@@ -21,7 +21,7 @@
     Returns:
       A messages.TaskKey.
     Raises:
-      ValueError: It is no such name.
+      ValueError: The text is not a valid task name.
     """
     job_id, time, step, index = name.split(".")
     return messages.TaskKey(job_id, int(time), int(step), int(index))
--- a/thornport/platform/names_test.py
+++ b/thornport/platform/names_test.py
@@ -9,7 +9,7 @@
 
 
 class Names(unittest.TestCase):
-    """A task's name is read back as it was formatted."""
+    """Formatting, and parsing a formatted task name, which restores its key."""
 
     def test_step(self):
         self.assertEqual(
@@ -21,7 +21,7 @@
         self.assertEqual(names.format_task(key), JOB_ID + ".0.1.17")
         self.assertEqual(names.parse_task(names.format_task(key)), key)
 
-    def test_what_is_no_name(self):
+    def test_invalid_names_are_rejected(self):
         for name in (
             "",
             JOB_ID,
--- a/thornport/platform/platform_test.py
+++ b/thornport/platform/platform_test.py
@@ -1,4 +1,4 @@
-"""Each message of the platform, decoded and encoded, without the platform."""
+"""Encoding and decoding of each message of the platform, with a fake transport."""
 
 import base64
 import unittest
@@ -25,7 +25,7 @@
 
 
 class FakeCalls:
-    """Answers every call alike and keeps what was asked."""
+    """Answers every call with the same outcome and records the requests."""
 
     def __init__(self, outcome):
         self.outcome = outcome
@@ -42,24 +42,24 @@
         on_bytes=None,
         on_late=None,
     ):
-        """Note the call and answer."""
+        """Record the call and answer it."""
         self.timeouts = timeouts
         self.asked.append((method, path, body, dict(headers)))
         return self.outcome
 
     def trust(self, address):
-        """No connection is kept."""
+        """Do nothing: there are no connections."""
 
 
 class FakeMetrics:
-    """Counts nothing."""
+    """Discards all counts."""
 
     def count(self, name, step=1):
-        """Count."""
+        """Discard a count."""
 
 
 def run(coroutine):
-    """Run a coroutine that waits for nothing."""
+    """Run a coroutine that never suspends."""
     try:
         coroutine.send(None)
     except StopIteration as done:
@@ -68,9 +68,9 @@
 
 
 class Jobs(unittest.TestCase):
-    """A job as callers write it."""
+    """Jobs as callers encode them."""
 
-    def test_every_field_finds_its_name(self):
+    def test_fields_are_decoded(self):
         body = {
             "spec": "text",
             "repeats": 3,
@@ -120,7 +120,7 @@
         self.assertEqual((job.repeats, job.interval_ms), (3, 500))
         self.assertEqual(job.first_at_ms, 1_700_000_000_000)
 
-    def test_faults_are_named_with_their_place(self):
+    def test_errors_name_the_faulty_field(self):
         for body, place in (
             (b"{", "truncated"),
             (b'{"spec":"x","steps":[]}', "steps"),
@@ -134,7 +134,7 @@
             self.assertIn(place, str(raised.exception))
 
     @given(st.binary(max_size=200))
-    def test_any_bytes_give_a_job_or_a_fault(self, body):
+    def test_any_bytes_decode_or_raise_spec_error(self, body):
         try:
             jobs.decode_job(body)
         except spec.SpecError:
@@ -142,7 +142,7 @@
 
 
 class Tenants(unittest.TestCase):
-    """Workspaces as the operator writes them."""
+    """Workspaces, which the operator writes as tenants."""
 
     def decode(self, *tenants):
         """Decode a configuration with some tenants."""
@@ -156,7 +156,7 @@
         usual = {"name": "press", "api_keys": ["k"], "weight": 28, "max_items": limit}
         return usual | changes
 
-    def test_every_field_finds_its_name(self):
+    def test_fields_are_decoded(self):
         found = self.decode(self.make()).workspaces.find_by_key(b"k")
         limit = spec.Demand(16_000, workspace.UNLIMITED, 2)
         self.assertEqual(found, workspace.Workspace("press", ("k",), 28.0, limit))
@@ -165,7 +165,7 @@
         self.assertIsNone(config.decode_config(b'{"version":1}').workspaces)
         self.assertIsNotNone(self.decode().workspaces)
 
-    def test_bad_one_lets_nobody_in_and_leaves_the_rest_in_force(self):
+    def test_invalid_tenant_admits_nobody_and_leaves_the_rest_in_force(self):
         low = {"cpu": -1, "mem_mb": 0, "gpu": 0}
         for bad in (
             self.make(name=""),
@@ -187,19 +187,19 @@
             self.assertEqual([one.place for one in found.bad], ["tenants[0]"])
 
     @given(st.lists(st.binary(max_size=40), max_size=3))
-    def test_any_bytes_are_workspaces_or_faults(self, raws):
+    def test_any_bytes_decode_or_are_listed_as_bad(self, raws):
         found = config.decode_workspaces([msgspec.Raw(raw) for raw in raws])
         self.assertEqual(len(found.bad) + len(found.by_name), len(raws))
 
 
 class RepeatedCalls(unittest.TestCase):
-    """Calls that are made again in time: an answer that trickles may not hold them up.
+    """Calls that must be repeated in time, even if an answer arrives slowly.
 
-    A poll renews leases of MAX_LEASE_MS, and the next one waits for its end; likewise
-    the renewal of the owner's lease.
+    A poll renews leases of MAX_LEASE_MS, and the next poll starts only after it ends;
+    likewise the renewal of the owner's lease.
     """
 
-    def test_each_ends_while_there_is_time_for_another(self):
+    def test_each_call_times_out_in_time_for_another(self):
         calls = FakeCalls(result.Failure(httpcalls.NoAnswer("cut")))
         client = workers.WorkerClient(calls, 0.2)
         run(client.hold(messages.HoldRequest("i-1", "10.0.0.9:80", 7, 0, 0, 700)))
@@ -218,7 +218,7 @@
     """The store's calls."""
 
     def ask(self, outcome, call):
-        """Make a call that is answered so; returns its outcome and what was sent."""
+        """Make a call with a given answer; returns its outcome and the request."""
         calls = FakeCalls(outcome)
         client = store.StoreClient(calls, "10.0.0.7:80", 0.5, FakeMetrics())
         return run(call(client)), calls.asked[0]
@@ -238,7 +238,7 @@
         }
         self.assertEqual(msgspec.json.decode(asked[2]), wanted)
 
-    def test_failed_condition_gives_the_items(self):
+    def test_failed_condition_returns_the_items(self):
         items = [{"key": "k", "value": "dg==", "rev": 3, "made": 3, "lease": 0}]
         refused, _ = self.ask(
             result.Success(answer(412, {"items": items})),
@@ -247,14 +247,14 @@
         wanted = {"k": transactions.Item("k", b"v", 3)}
         self.assertEqual(refused.failure().by_key, wanted)
 
-    def test_write_without_an_answer_is_ambiguous_and_a_read_is_not(self):
+    def test_unanswered_write_is_ambiguous_and_unanswered_read_is_not(self):
         lost = result.Failure(httpcalls.NoAnswer("cut"))
         written, _ = self.ask(lost, lambda c: c.commit(transactions.Transaction()))
         self.assertIsInstance(written.failure(), port.Ambiguous)
         read, _ = self.ask(lost, lambda c: c.read_key("k"))
         self.assertIsInstance(read.failure(), port.Unavailable)
 
-    def test_refused_calls_did_nothing(self):
+    def test_refused_writes_are_not_ambiguous(self):
         for status in (429, 503):
             written, _ = self.ask(
                 result.Success(answer(status, {})),
@@ -283,7 +283,7 @@
         )
         self.assertIsInstance(gone.failure(), transactions.HistoryGone)
 
-    def test_watch_waits_long_for_its_answer_but_not_in_it(self):
+    def test_watch_allows_a_long_wait_but_only_short_pauses(self):
         calls = FakeCalls(result.Failure(httpcalls.NoAnswer("cut")))
         client = store.StoreClient(calls, "10.0.0.7:80", 0.5, FakeMetrics())
         run(client.watch("p/", 411, 2000))
@@ -291,7 +291,7 @@
         self.assertEqual((calls.timeouts.pause_s, calls.timeouts.whole_s), (0.5, 30.0))
         self.assertLess(store.WATCH_SLACK_S, 1.0)  # a silent store is noticed
 
-    def test_lease_that_is_over(self):
+    def test_renewing_an_ended_lease_fails(self):
         over, asked = self.ask(
             result.Success(answer(404, {})), lambda c: c.renew_lease(77)
         )
@@ -300,16 +300,16 @@
 
 
 class AdviceAndConfig(unittest.TestCase):
-    """Advice and the configuration."""
+    """Advice answers and the configuration."""
 
     def test_advice(self):
         body = {"good": [["i-1", "c81e"]], "valid_ms": 3000}
         calls = FakeCalls(result.Success(answer(200, body)))
         client = advice.AdviceClient(calls, "10.0.0.1:9")
         request = messages.AdviceRequest(STEP, ("i-1", "i-2"))
-        told = run(client.advise(request, 1.0)).unwrap()
+        advised = run(client.advise(request, 1.0)).unwrap()
         good = (messages.Ticket("i-1", "c81e"),)
-        self.assertEqual(told, messages.AdviceAnswer(good, 3000))
+        self.assertEqual(advised, messages.AdviceAnswer(good, 3000))
         wanted = {"step": "5c0e7a21d94b36f8.0.1", "workers": ["i-1", "i-2"]}
         self.assertEqual(msgspec.json.decode(calls.asked[0][2]), wanted)
 
--- a/thornport/platform/store.py
+++ b/thornport/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP, as `store.transactions` asks for it."""
+"""HTTP client of the platform's store, for the types of `store.transactions`."""
 
 import base64
 import urllib.parse
@@ -9,13 +9,13 @@
 from thornport.kernel import httpcalls, logs
 from thornport.store import port, transactions
 
-WATCH_SLACK_S = 0.6  # beyond the wait, for the way there and back
-LATE_S = 4.0  # for the answer to a call that was given up; see httpcalls.CallTimeouts
-MAX_WATCH_MS = 30_000  # the platform's limit on a waiting watch
+WATCH_SLACK_S = 0.6  # beyond the wait, for the network round trip
+LATE_S = 4.0  # for the late answer to a timed-out call; see CallTimeouts
+MAX_WATCH_MS = 30_000  # the platform's limit on the wait of a watch
 
 
 class WireItem(msgspec.Struct, frozen=True):
-    """An item; `gone` in an event of a removed key."""
+    """An item; `gone` is set in the event of a removed key."""
 
     key: str
     value: str = ""
@@ -25,7 +25,7 @@
 
 
 class WirePage(msgspec.Struct, frozen=True):
-    """The answer to a range."""
+    """The answer to a range read."""
 
     items: list[WireItem] = []
     more: bool = False
@@ -69,27 +69,27 @@
 
 
 class WireLease(msgspec.Struct, frozen=True):
-    """The answer to a lease."""
+    """The answer to granting or renewing a lease."""
 
     lease: int = 0
     ttl_ms: int = 0
 
 
 class StoreClient:
-    """Calls the store; every method gives a Result with errors of `port`.
+    """Calls the store; every method returns a Result; failures are errors of `port`.
 
     Attributes:
-      on_late: A callable, called when a call that was given up is answered; None for
-        none.
+      on_late: A callable, called when a timed-out call is answered late; None for none.
     """
 
     def __init__(self, calls, address, timeout_s, metrics):
-        """Take the ways to call.
+        """Initialize the client.
 
         Args:
           calls: An httpcalls.HttpCalls.
           address: A str, `IP:PORT`.
-          timeout_s: A float, seconds to wait for an answer, and in one.
+          timeout_s: A float, seconds to wait for an answer to begin, and the longest
+            pause within one.
           metrics: A metrics.Metrics.
         """
         self._calls = calls
@@ -99,7 +99,7 @@
         self.on_late = None
 
     async def read_key(self, key):
-        """Read a key; a Result of Item, absent with ABSENT_REVISION."""
+        """Read a key; a Result of Item, with ABSENT_REVISION if the key is absent."""
         path = "/-/kv-key?" + urllib.parse.urlencode({"key": key})
         answer = await self._call("GET", path)
         if is_status(answer, 404):
@@ -111,7 +111,7 @@
         """Read a page of the keys with a prefix; a Result of Page.
 
         Args:
-          on_bytes: A callable, called whenever bytes of the answer come.
+          on_bytes: A callable, called whenever bytes of the answer arrive.
         """
         query = {"path_prefix": prefix}
         if after_key:
@@ -124,12 +124,12 @@
         """Wait for changes under a prefix; a Result of Changes.
 
         Args:
-          on_bytes: A callable, called whenever bytes of the answer come.
+          on_bytes: A callable, called whenever bytes of the answer arrive.
         """
         wait_ms = min(wait_ms, MAX_WATCH_MS)
         query = {"path_prefix": prefix, "after": after_revision, "wait_ms": wait_ms}
         path = "/-/kv-watch?" + urllib.parse.urlencode(query)
-        # The wait is over when the answer begins, which may have 1 MB.
+        # The wait ends when the answer begins; the answer may be 1 MB long.
         begin_s = wait_ms / 1000 + WATCH_SLACK_S
         timeouts = httpcalls.CallTimeouts(
             begin_s, self._timeouts.pause_s, late_s=LATE_S
@@ -144,22 +144,22 @@
         body = msgspec.json.encode(encode_transaction(transaction))
         answer = await self._call("POST", "/-/kv-txn", body, is_write=True)
         if is_status(answer, 412):
-            page = decode_body(answer, WirePage, good=412)
-            return page.bind(refuse)
+            page = decode_body(answer, WirePage, expected_status=412)
+            return page.bind(decode_refusal)
         if is_status(answer, 404):
             return result.Failure(transactions.LeaseGone("no such lease"))
         return decode_body(answer, WireRevision).map(lambda wire: wire.rev)
 
     async def grant_lease(self, ttl_ms):
-        """Get a lease; a Result of Lease."""
+        """Grant a lease; a Result of Lease."""
         body = msgspec.json.encode({"ttl_ms": ttl_ms})
         answer = await self._call("POST", "/-/kv-lease", body, is_write=True)
         wire = decode_body(answer, WireLease)
         return wire.map(lambda w: transactions.Lease(w.lease, w.ttl_ms))
 
     async def renew_lease(self, lease_id):
-        """Renew a lease; a Result of its time in milliseconds."""
-        # A lease has time for three tries; the answer is small.
+        """Renew a lease; a Result of its TTL in milliseconds."""
+        # Three attempts must fit into the TTL of a lease; the answer is small.
         begin_s = self._timeouts.begin_s
         timeouts = httpcalls.CallTimeouts(begin_s, whole_s=begin_s, late_s=LATE_S)
         answer = await self._call("POST", f"/-/kv-keep/{lease_id}", timeouts=timeouts)
@@ -188,15 +188,15 @@
             on_late=self.on_late,
         )
         if isinstance(answer, result.Failure):
-            return result.Failure(turn_error(answer.failure(), is_write))
+            return result.Failure(convert_error(answer.failure(), is_write))
         if answer.unwrap().status in (429, 503):
             self._metrics.count("store.refused")
             return result.Failure(port.Unavailable(f"status {answer.unwrap().status}"))
         return answer
 
 
-def turn_error(error, is_write):
-    """Turn an error of the transport into one of the store.
+def convert_error(error, is_write):
+    """Convert a transport error into a store error.
 
     Args:
       error: An httpcalls.CallError.
@@ -214,29 +214,29 @@
     return isinstance(answer, result.Success) and answer.unwrap().status == status
 
 
-def decode_body(answer, struct_type, good=200):
+def decode_body(answer, struct_type, expected_status=200):
     """Decode the body of an answer.
 
     Args:
       answer: A Result of httpcalls.Answer.
       struct_type: The msgspec type of the body.
-      good: An int, the status that it comes with.
+      expected_status: An int, the status of an answer with this body.
     Returns:
       A Result of the struct or a port.StoreError.
     """
     if isinstance(answer, result.Failure):
         return answer
-    given = answer.unwrap()
-    if given.status != good:
-        return result.Failure(port.Unavailable(f"status {given.status}"))
+    reply = answer.unwrap()
+    if reply.status != expected_status:
+        return result.Failure(port.Unavailable(f"status {reply.status}"))
     try:
-        return result.Success(msgspec.json.decode(given.body, type=struct_type))
+        return result.Success(msgspec.json.decode(reply.body, type=struct_type))
     except msgspec.MsgspecError as error:
         return result.Failure(port.Unavailable(f"bad answer: {error}"))
 
 
 def decode_value(wire):
-    """Decode the value of an item; one that can't be is left to its reader as it is.
+    """Decode the value of an item; its reader gets an undecodable one unchanged.
 
     Args:
       wire: A WireItem.
@@ -274,8 +274,8 @@
     return transactions.Changes(changes, wire.at)
 
 
-def refuse(wire):
-    """Turn the items of failed conditions into an error."""
+def decode_refusal(wire):
+    """Convert the items of failed conditions into a transactions.Refused."""
     items = [decode_item(item) for item in wire.items]
     by_key = {item.key: item for item in items if item.revision}
     return result.Failure(transactions.Refused("a condition failed", by_key))
--- a/thornport/platform/workermessages.py
+++ b/thornport/platform/workermessages.py
@@ -1,4 +1,4 @@
-"""What workers are sent and answer, decoded into the project's own."""
+"""Requests to workers and their answers, as the platform encodes them."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class WireHold(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The body of a hold."""
+    """The body of a poll."""
 
     fencing_token: int
     last_seen: int
@@ -16,7 +16,7 @@
 
 
 class WireHoldAnswer(msgspec.Struct, frozen=True):
-    """The answer to a hold; its rows are lists."""
+    """The answer to a poll; each row is a list of fields."""
 
     clock_ms: int
     running: list[list] = []
@@ -25,7 +25,7 @@
 
 
 class WireStart(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The body of a start."""
+    """The body of a start command."""
 
     task: str
     run: int
@@ -37,7 +37,7 @@
 
 
 class WireStop(msgspec.Struct, frozen=True):
-    """The body of a stop."""
+    """The body of a stop command."""
 
     task: str
     run: int
@@ -45,7 +45,7 @@
 
 
 class WireOutcome(msgspec.Struct, frozen=True):
-    """The answer to an order."""
+    """The answer to a start or stop command."""
 
     clock_ms: int = 0
     reason: str = ""
@@ -56,14 +56,14 @@
 
 
 def decode_hold(body):
-    """Decode the answer to a hold.
+    """Decode the answer to a poll.
 
     Args:
       body: Bytes.
     Returns:
       A messages.HoldAnswer.
     Raises:
-      ValueError: The body is no such answer.
+      ValueError: The body is not a valid answer.
     """
     wire = HOLD_DECODER.decode(body)
     running = [
@@ -82,25 +82,25 @@
 
 
 def decode_done(body):
-    """Decode the answer to an order that was taken.
+    """Decode the answer to a command that the worker accepted.
 
     Args:
       body: Bytes.
     Returns:
       A messages.Done.
     Raises:
-      msgspec.MsgspecError: The bytes are no such answer.
+      msgspec.MsgspecError: The body is not a valid answer.
     """
     return messages.Done(OUTCOME_DECODER.decode(body).clock_ms)
 
 
 def decode_rejection(answer):
-    """Decode an answer that is no success.
+    """Decode an answer whose status is not 200.
 
     Args:
       answer: An httpcalls.Answer.
     Returns:
-      A messages.Rejected, or Unanswered if it can't be told what was done.
+      A messages.Rejected, or Unanswered if the worker may have acted on the call.
     """
     if answer.status == 421:
         return messages.Rejected(messages.Rejection.REPLACED)
--- a/thornport/platform/workermessages_test.py
+++ b/thornport/platform/workermessages_test.py
@@ -1,4 +1,4 @@
-"""Answers of workers, decoded."""
+"""Decoding of answers from workers."""
 
 import unittest
 
@@ -7,9 +7,9 @@
 
 
 class Answers(unittest.TestCase):
-    """Answers to looks and orders."""
+    """Answers to polls and commands."""
 
-    def test_answer_to_a_look_says_which_life_answers(self):
+    def test_answer_to_a_poll_states_the_incarnation(self):
         self.assertIsNone(workermessages.decode_hold(b'{"clock_ms":1}').started_at_ms)
         answer = workermessages.decode_hold(b'{"clock_ms":1,"born":7}')
         self.assertEqual(answer.started_at_ms, 7)
@@ -25,12 +25,14 @@
             (429, {}, messages.Rejection.UNHEALTHY),
             (400, {}, messages.Rejection.INVALID),
         ):
-            told = workermessages.decode_rejection(platform_test.answer(status, body))
-            self.assertEqual(told, messages.Rejected(reason))
-        told = workermessages.decode_rejection(
+            rejected = workermessages.decode_rejection(
+                platform_test.answer(status, body)
+            )
+            self.assertEqual(rejected, messages.Rejected(reason))
+        rejected = workermessages.decode_rejection(
             platform_test.answer(409, {"reason": "other"})
         )
-        self.assertIsInstance(told, messages.Unanswered)
+        self.assertIsInstance(rejected, messages.Unanswered)
 
 
 if __name__ == "__main__":
--- a/thornport/platform/workers.py
+++ b/thornport/platform/workers.py
@@ -8,29 +8,30 @@
 from thornport.platform import names, workermessages
 
 EXPECT_HEADER = "Thornport-Expect-Instance"
-HOLD_SLACK_S = 0.3  # beyond the wait, until an answer has begun
-# For the whole answer to a hold, beyond its wait: a long list of ends on a slow link is
-# within it, and two holds fit into a lease.
+HOLD_SLACK_S = 0.3  # from the end of the wait until the answer begins
+# From the end of the wait until the whole answer is read: enough for a long list of
+# ended runs over a slow link, while two polls still fit into a lease.
 HOLD_ANSWER_S = 1.3
 
 
 class WorkerClient:
-    """Calls workers."""
+    """Makes HTTP calls to workers."""
 
-    def __init__(self, calls, order_timeout_s):
-        """Take the ways to call.
+    def __init__(self, calls, command_timeout_s):
+        """Initialize the client.
 
         Args:
           calls: An httpcalls.HttpCalls.
-          order_timeout_s: A float, seconds to wait for a start or a stop.
+          command_timeout_s: A float, seconds to wait for the answer to a start or
+            stop command.
         """
         self._calls = calls
         self._command_timeouts = httpcalls.CallTimeouts(
-            order_timeout_s, whole_s=order_timeout_s
+            command_timeout_s, whole_s=command_timeout_s
         )
 
     async def hold(self, request):
-        """Renew and look.
+        """Poll a worker: renew its leases and read its running and ended runs.
 
         Args:
           request: A messages.HoldRequest.
@@ -51,46 +52,46 @@
             workermessages.decode_hold,
         )
         if isinstance(answer, messages.HoldAnswer):
-            # An answer to an order does not tell which life of the worker gave it.
+            # Only the answer to a poll states which incarnation of the worker gave it.
             self._calls.trust(request.address)
         return answer
 
-    async def start(self, order):
-        """Start a run.
+    async def start(self, command):
+        """Send a start command.
 
         Args:
-          order: A messages.StartOrder.
+          command: A messages.StartOrder.
         Returns:
           A Done, Rejected, NotReached or Unanswered.
         """
         body = workermessages.WireStart(
-            names.format_task(order.key),
-            order.run,
-            order.text,
-            order.deadline_ms,
-            order.token,
-            order.checkpoint,
-            order.ticket,
+            names.format_task(command.key),
+            command.run,
+            command.text,
+            command.deadline_ms,
+            command.token,
+            command.checkpoint,
+            command.ticket,
         )
         timeouts = self._command_timeouts
         return await self._ask(
-            order, "/-/run-start", body, timeouts, workermessages.decode_done
+            command, "/-/run-start", body, timeouts, workermessages.decode_done
         )
 
-    async def stop(self, order):
-        """Stop a run.
+    async def stop(self, command):
+        """Send a stop command.
 
         Args:
-          order: A messages.StopOrder.
+          command: A messages.StopOrder.
         Returns:
           A Done, Rejected, NotReached or Unanswered.
         """
         body = workermessages.WireStop(
-            names.format_task(order.key), order.run, order.token
+            names.format_task(command.key), command.run, command.token
         )
         timeouts = self._command_timeouts
         return await self._ask(
-            order, "/-/run-stop", body, timeouts, workermessages.decode_done
+            command, "/-/run-stop", body, timeouts, workermessages.decode_done
         )
 
     def has_polled(self, address):
--- a/thornport/platform/workers_test.py
+++ b/thornport/platform/workers_test.py
@@ -1,4 +1,4 @@
-"""Calls to workers: what is sent, and what an answer or its lack says."""
+"""Calls to workers: the requests sent, and the outcome of answers and failures."""
 
 import unittest
 
@@ -14,9 +14,9 @@
 
 
 class Calls(unittest.TestCase):
-    """Looks, starts and stops."""
+    """Polls, start commands and stop commands."""
 
-    def test_look(self):
+    def test_poll(self):
         name = "5c0e7a21d94b36f8.0.1.17"
         body = {
             "clock_ms": 482113,
@@ -26,12 +26,12 @@
         calls = platform_test.FakeCalls(result.Success(platform_test.answer(200, body)))
         client = workers.WorkerClient(calls, 0.2)
         request = messages.HoldRequest("i-1", "10.0.0.9:80", 7, 486000, 57, 700)
-        held = platform_test.run(client.hold(request))
+        polled = platform_test.run(client.hold(request))
         self.assertEqual(
-            held.running, [messages.RunningRow(platform_test.TASK, 2, "cp", 41)]
+            polled.running, [messages.RunningRow(platform_test.TASK, 2, "cp", 41)]
         )
         done = messages.EndRow(58, platform_test.TASK, 1, messages.EndKind.DONE, "")
-        self.assertEqual(held.ended, [done])
+        self.assertEqual(polled.ended, [done])
         method, path, sent, headers = calls.asked[0]
         self.assertEqual((method, path), ("POST", "/-/hold"))
         self.assertEqual(headers, {"Thornport-Expect-Instance": "i-1"})
@@ -48,10 +48,10 @@
             result.Success(platform_test.answer(200, {"clock_ms": 5}))
         )
         client = workers.WorkerClient(calls, 0.2)
-        order = messages.StartOrder(
+        command = messages.StartOrder(
             "i-1", "10.0.0.9:80", platform_test.TASK, 2, "text", 486000, 7, "cp", "c81e"
         )
-        self.assertEqual(platform_test.run(client.start(order)), messages.Done(5))
+        self.assertEqual(platform_test.run(client.start(command)), messages.Done(5))
         wanted = {
             "task": "5c0e7a21d94b36f8.0.1.17",
             "run": 2,
@@ -63,8 +63,8 @@
         }
         self.assertEqual(msgspec.json.decode(calls.asked[0][2]), wanted)
 
-    def test_calls_that_failed_say_whether_they_were_sent(self):
-        order = messages.StopOrder("i-1", "10.0.0.9:80", platform_test.TASK, 2, 7)
+    def test_failed_call_states_whether_it_was_sent(self):
+        command = messages.StopOrder("i-1", "10.0.0.9:80", platform_test.TASK, 2, 7)
         for error, kind in (
             (httpcalls.NotSent("refused"), messages.NotReached),
             (httpcalls.NoAnswer("cut"), messages.Unanswered),
@@ -72,25 +72,25 @@
             client = workers.WorkerClient(
                 platform_test.FakeCalls(result.Failure(error)), 0.2
             )
-            self.assertIsInstance(platform_test.run(client.stop(order)), kind)
+            self.assertIsInstance(platform_test.run(client.stop(command)), kind)
 
-    def test_call_that_failed_says_whether_its_connection_broke_off(self):
-        order = messages.StopOrder("i-1", "10.0.0.9:80", platform_test.TASK, 2, 7)
+    def test_failed_call_states_whether_its_connection_broke_off(self):
+        command = messages.StopOrder("i-1", "10.0.0.9:80", platform_test.TASK, 2, 7)
         for is_broken_off in (True, False):
             failure = result.Failure(httpcalls.NoAnswer("cut", is_broken_off))
             client = workers.WorkerClient(platform_test.FakeCalls(failure), 0.2)
-            answer = platform_test.run(client.stop(order))
+            answer = platform_test.run(client.stop(command))
             self.assertEqual(answer.is_broken_off, is_broken_off)
 
 
 class Restarts(unittest.TestCase):
-    """A worker that starts again under its id between two looks.
+    """A worker that restarts under the same id between two polls.
 
-    Tasks ran again after their ends were noted, in soaks whose workers restart in
-    series. A start reached the new life before the owner knew of it, and opened a
-    connection. The next look went over that one, and said which ends of the life before
-    were seen; the new life took the number for its own and forgot the end of the task
-    that it had just run.
+    Guards against tasks that run again after their ends were recorded, seen in soaks
+    with series of worker restarts. A start command reached the new incarnation on a new
+    connection before the owner knew of it. The next poll used that connection and sent
+    `last_seen` of the earlier incarnation; the new one took the number for its own and
+    discarded the end of the task that it had just run.
     """
 
     address = "10.0.0.9:80"
@@ -101,7 +101,7 @@
         self.opened = 0
 
     def call(self, request, connection=None, **answer):
-        """Make a call and have it answered; returns the connection."""
+        """Make a call and answer it; returns the connection."""
         tasks.spawn(executing.make_call(request, self.client), "call")
         if getattr(self.reactor, "opened", 0) > self.opened:
             self.opened = self.reactor.opened
@@ -114,45 +114,45 @@
         connection.dataReceived(head.encode() + body)
         return connection
 
-    def look(self, connection=None):
-        """Look at the worker, of which 57 ends were seen; returns the connection."""
+    def poll(self, connection=None):
+        """Poll the worker, of which 57 ends were seen; returns the connection."""
         request = messages.HoldRequest("i-1", self.address, 7, 486000, 57, 700)
         return self.call(request, connection, running=[], ended=[])
 
     def start(self, connection=None):
-        """Start a run there; returns the connection."""
-        order = messages.StartOrder(
+        """Send a start command to the worker; returns the connection."""
+        command = messages.StartOrder(
             "i-1", self.address, platform_test.TASK, 2, "text", 486000, 7
         )
-        return self.call(order, connection)
+        return self.call(command, connection)
 
     def read_seen(self, connection):
-        """Which ends the call that was made last says are seen; 0 for none."""
+        """Read `last_seen` of the latest call; 0 for none."""
         body = connection.transport.written.partition(b"\r\n\r\n")[2]
         return msgspec.json.decode(body).get("last_seen", 0)
 
-    def look_until_told(self):
-        """Look until the worker is told of ends; returns the connection."""
-        connection = self.look()
+    def poll_until_last_seen(self):
+        """Poll until `last_seen` is sent to the worker; returns the connection."""
+        connection = self.poll()
         self.assertEqual(self.read_seen(connection), 0)
-        self.look(connection)
-        self.look(connection)
+        self.poll(connection)
+        self.poll(connection)
         self.assertEqual(self.read_seen(connection), 57)
         return connection
 
-    def test_look_after_a_start_on_a_new_connection_tells_of_no_ends(self):
-        connection = self.look_until_told()
+    def test_poll_after_a_start_on_a_new_connection_sends_no_last_seen(self):
+        connection = self.poll_until_last_seen()
         connection.connectionLost(failure.Failure(errors.ConnectionDone()))
         connection = self.start()
-        self.look(connection)
+        self.poll(connection)
         self.assertEqual(self.read_seen(connection), 0)
-        self.look(connection)
+        self.poll(connection)
         self.assertEqual(self.read_seen(connection), 57)
 
-    def test_start_on_the_connection_of_the_looks_changes_nothing(self):
-        connection = self.look_until_told()
+    def test_poll_after_a_start_on_the_polled_connection_sends_last_seen(self):
+        connection = self.poll_until_last_seen()
         self.start(connection)
-        self.look(connection)
+        self.poll(connection)
         self.assertEqual(self.read_seen(connection), 57)
 
 
