--- a/thornport/routing/admission.py
+++ b/thornport/routing/admission.py
@@ -59,8 +59,8 @@
           limit: An int, the maximum number of queued requests.
         """
         self.limit = limit
-        self._next = 0
-        self._turns = 0
+        self._last_number = 0
+        self._dispatches = 0
         self._by_order = sortedcontainers.SortedDict()
         self._by_age = sortedcontainers.SortedDict()
         self._by_give_up = sortedcontainers.SortedDict()
@@ -123,9 +123,9 @@
           A pair of the Waiting, or None if the request is shed, and a list of
           ShedRequest, which includes the new request if it is shed.
         """
-        self._next += 1
+        self._last_number += 1
         give_up_at = request.deadline - self.long_run_s
-        waiting = Waiting(request, give_up_at, (-request.price, self._next))
+        waiting = Waiting(request, give_up_at, (-request.price, self._last_number))
         wait_s = self.estimate_wait_s(request.price, slots)
         if now + wait_s > give_up_at:
             given_up = self._make_given_up(outcome.Reason.DEADLINE, wait_s)
@@ -176,8 +176,8 @@
         """
         if not self._by_order:
             return None
-        self._turns += 1
-        if self._turns % AGING_INTERVAL == 0:
+        self._dispatches += 1
+        if self._dispatches % AGING_INTERVAL == 0:
             waiting = self._by_age.peekitem(0)[1]
         else:
             waiting = self._by_order.peekitem(0)[1]
@@ -208,11 +208,11 @@
         Returns:
           A list of ShedRequest.
         """
-        everybody = list(self._by_order.values())
-        for waiting in everybody:
+        all_waiting = list(self._by_order.values())
+        for waiting in all_waiting:
             self.remove(waiting)
         given_up = outcome.not_run(reason, retry_after_s=MIN_RETRY_AFTER_S)
-        return [ShedRequest(waiting, given_up) for waiting in everybody]
+        return [ShedRequest(waiting, given_up) for waiting in all_waiting]
 
     def _make_given_up(self, reason, wait_s):
         retry_after_s = min(
--- a/thornport/routing/borrower.py
+++ b/thornport/routing/borrower.py
@@ -66,7 +66,7 @@
         """
         self._hall = hall
         self._targets_by_service = {}
-        self._left = set()
+        self._leaving_addresses = set()
         self.targets_by_address = {}
 
     def take_listed(self, listed_by_address):
@@ -79,13 +79,13 @@
           listed_by_address: A dict of vmlist.Listed, backend servers only.
         """
         # A new VM may reuse an address that is no longer listed.
-        self._left &= listed_by_address.keys()
+        self._leaving_addresses &= listed_by_address.keys()
         for address, listed in listed_by_address.items():
             target = self.targets_by_address.get(address)
             if target is None:
                 target = Target(address, listed.service, listed.hall)
                 self.targets_by_address[address] = target
-            target.leaving = listed.leaving or address in self._left
+            target.leaving = listed.leaving or address in self._leaving_addresses
         for address in list(self.targets_by_address):
             target = self.targets_by_address[address]
             if address not in listed_by_address:
@@ -107,8 +107,8 @@
         Returns:
           A bool, whether this is news.
         """
-        is_news = address not in self._left
-        self._left.add(address)
+        is_news = address not in self._leaving_addresses
+        self._leaving_addresses.add(address)
         target = self.targets_by_address.get(address)
         if target:
             target.leaving = True
@@ -170,7 +170,7 @@
         Returns:
           A bool, whether limits changed, which the home should be notified of.
         """
-        moved = False
+        changed = False
         deadline = clock.compute_deadline(grants.ttl_ms, grants.token)
         for address, grant in grants.by_backend.items():
             target = self.targets_by_address.get(address)
@@ -179,12 +179,12 @@
             if grant.seq > target.seq:
                 # Each grant has its own deadline. The deadline of an earlier grant,
                 # perhaps from another home, does not apply to it.
-                moved = True
+                changed = True
                 target.seq = grant.seq
                 target.limit = grant.limit
                 target.deadline = deadline
             target.deadline = max(target.deadline, deadline)
-        return moved
+        return changed
 
     def make_demand(self, known_homes, home_id, demand, now):
         """Make the message that reports demand and applied grants to a home.
--- a/thornport/routing/ledgers.py
+++ b/thornport/routing/ledgers.py
@@ -71,8 +71,8 @@
     Returns:
       A float.
     """
-    lasting_s = loans.LOAN_S + backend.max_run_s
-    return heard_at + lasting_s * clock.CLOCK_RATE_MARGIN
+    duration_s = loans.LOAN_S + backend.max_run_s
+    return heard_at + duration_s * clock.CLOCK_RATE_MARGIN
 
 
 def expire_loans(ledger, now):
--- a/thornport/routing/lender.py
+++ b/thornport/routing/lender.py
@@ -36,7 +36,7 @@
         self._me = me
         self._homes = homes.Homes()
         self._settling = settling.Settling(me)
-        self._opened_epoch = 0
+        self._settled_epoch = 0
         self._next_seq = 0
         self._unaccounted_from = float("-inf")
         self._known_lost = frozenset()
@@ -51,7 +51,7 @@
     @property
     def is_settled(self):
         """Whether every former home has handed over its loans or been given up."""
-        return 0 < self._opened_epoch == self._homes.ring.epoch
+        return 0 < self._settled_epoch == self._homes.ring.epoch
 
     def take_ring(self, ring, now):
         """Apply a new ring and determine which former homes to send a Takeover.
@@ -118,7 +118,7 @@
     def _settle_if_done(self, now):
         if not self._settling.is_settled or self.is_settled:
             return
-        self._opened_epoch = self._homes.ring.epoch
+        self._settled_epoch = self._homes.ring.epoch
         self._open_ledgers(now)
 
     def answer_takeover(self, sender_id, takeover, now):
@@ -207,8 +207,8 @@
           A loans.Grants for the borrower, or None if the message is out of order or
           this home is not settled.
         """
-        known = self._borrowers_by_id.get(borrower_id)
-        if known and demand.token <= known.token:
+        previous = self._borrowers_by_id.get(borrower_id)
+        if previous and demand.token <= previous.token:
             return None
         self._borrowers_by_id[borrower_id] = ledgers.Borrower(
             demand.token, now, demand.demand
@@ -255,8 +255,8 @@
         """
         if not self.is_settled:
             return {}
-        self._forget_silent(now)
-        moved = set()
+        self._remove_silent_borrowers(now)
+        changed = set()
         allotment_by_service = {}
         for address, ledger in self.ledgers_by_address.items():
             if address not in self._backends_by_address:
@@ -268,8 +268,8 @@
                 targets = allotment_by_service[service].count_by_id(address)
             else:
                 continue
-            moved |= self._move_limits(ledger, targets, now)
-        heard = moved & self._borrowers_by_id.keys()
+            changed |= self._adjust_limits(ledger, targets, now)
+        heard = changed & self._borrowers_by_id.keys()
         return {borrower: self._make_grants(borrower) for borrower in sorted(heard)}
 
     def _allot(self, service, now):
@@ -285,10 +285,10 @@
         turn = int(now / TURN_S) if is_short else 0
         return shares.Allotment(row, share_by_id, turn)
 
-    def _move_limits(self, ledger, targets, now):
+    def _adjust_limits(self, ledger, targets, now):
         """Lower limits first; raise others only by slots that are certainly free."""
         ledgers.expire_loans(ledger, now)
-        moved = set()
+        changed = set()
         # Loans handed over by an older home may be incomplete if the last home is
         # lost. No limit is based on them while slots may be unaccounted for.
         is_known = now >= ledgers.compute_loan_end(
@@ -301,7 +301,7 @@
             # has applied a grant of this home.
             if target < loan.limit or (loan.peak and not loan.seq):
                 self._set_limit(loan, min(target, loan.peak) if is_sound else 0)
-                moved.add(borrower_id)
+                changed.add(borrower_id)
         free = (
             ledger.backend.slots
             - ledgers.count_liable(ledger)
@@ -318,8 +318,8 @@
                 self._set_limit(loan, raised)
                 loan.peak = max(loan.peak, raised)
                 free -= loan.liability - before
-                moved.add(borrower_id)
-        return moved
+                changed.add(borrower_id)
+        return changed
 
     def _set_limit(self, loan, limit):
         self._next_seq += 1
@@ -327,7 +327,7 @@
         loan.limit = limit
         loan.peak = max(loan.peak, limit)
 
-    def _forget_silent(self, now):
+    def _remove_silent_borrowers(self, now):
         for borrower_id, borrower in list(self._borrowers_by_id.items()):
             if now >= borrower.heard_at + loans.LOAN_S:
                 del self._borrowers_by_id[borrower_id]
--- a/thornport/routing/loans_test.py
+++ b/thornport/routing/loans_test.py
@@ -280,11 +280,13 @@
         shared = shares.share_slots(total, demands)
         self.assertAlmostEqual(sum(shared.values()), total)
         self.check_whole(8, backends, shared, turn)
-        dearest = max((p for d in demands.values() for p in d), default=0)
-        wanted = sum(d.get(dearest, 0) for d in demands.values())
+        highest_price = max((p for d in demands.values() for p in d), default=0)
+        wanted = sum(d.get(highest_price, 0) for d in demands.values())
         if wanted <= total:
             for one, demand in demands.items():
-                self.assertGreaterEqual(shared[one] + 1e-6, demand.get(dearest, 0))
+                self.assertGreaterEqual(
+                    shared[one] + 1e-6, demand.get(highest_price, 0)
+                )
 
     def check_whole(self, slots, backends, shared, turn):
         """Check that all slots are lent and each share is rounded up or down."""
--- a/thornport/routing/shares.py
+++ b/thornport/routing/shares.py
@@ -32,7 +32,7 @@
       A dict from borrower to an int or a Fraction; they sum to total_slots.
     """
     share_by_id = dict.fromkeys(demand_by_id, 0)
-    left = total_slots
+    remaining_slots = total_slots
     prices = {price for demand in demand_by_id.values() for price in demand}
     for price in sorted(prices, reverse=True):
         wanted_by_id = {
@@ -40,33 +40,35 @@
             for borrower, demand in demand_by_id.items()
             if demand.get(price, 0)
         }
-        for borrower, met in meet_demand(wanted_by_id, left).items():
+        for borrower, met in meet_demand(wanted_by_id, remaining_slots).items():
             share_by_id[borrower] += met
-        left = max(0, left - sum(wanted_by_id.values()))
-        if not left:
+        remaining_slots = max(0, remaining_slots - sum(wanted_by_id.values()))
+        if not remaining_slots:
             return share_by_id
     for borrower in share_by_id:
-        share_by_id[borrower] += fractions.Fraction(left, len(share_by_id))
+        share_by_id[borrower] += fractions.Fraction(remaining_slots, len(share_by_id))
     return share_by_id
 
 
-def meet_demand(wanted_by_id, left):
+def meet_demand(wanted_by_id, remaining_slots):
     """Divide the remaining slots between borrowers with demand at one price.
 
     Args:
       wanted_by_id: A dict from borrower to a count above 0.
-      left: An int, the remaining slots.
+      remaining_slots: An int, the slots not yet divided.
     Returns:
-      A dict from borrower to an int or a Fraction; they sum to `left` if the demand is
-      higher.
+      A dict from borrower to an int or a Fraction; they sum to `remaining_slots` if
+      the demand is higher.
     """
     wanted = sum(wanted_by_id.values())
-    if wanted <= left:
+    if wanted <= remaining_slots:
         return wanted_by_id
-    askers = len(wanted_by_id)
-    if left <= askers:
-        return dict.fromkeys(wanted_by_id, fractions.Fraction(left, askers))
-    part = fractions.Fraction(left - askers, wanted - askers)
+    borrower_count = len(wanted_by_id)
+    if remaining_slots <= borrower_count:
+        return dict.fromkeys(
+            wanted_by_id, fractions.Fraction(remaining_slots, borrower_count)
+        )
+    part = fractions.Fraction(remaining_slots - borrower_count, wanted - borrower_count)
     return {
         borrower: 1 + (count - 1) * part for borrower, count in wanted_by_id.items()
     }
@@ -132,10 +134,10 @@
         self._row = row
         self._borrowers = sorted(share_by_id)
         self._starts = []
-        place = fractions.Fraction(turn * TURN_STEP % TURN_RANGE, TURN_RANGE)
+        offset = fractions.Fraction(turn * TURN_STEP % TURN_RANGE, TURN_RANGE)
         reached = fractions.Fraction(0)
         for borrower in self._borrowers:
-            self._starts.append(math.ceil(reached - place))
+            self._starts.append(math.ceil(reached - offset))
             reached += share_by_id[borrower]
 
     def count_by_id(self, backend):
