--- a/thornport/fleet/__init__.py
+++ b/thornport/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's lagging list of VMs: who are backend servers and workers."""
+"""The platform's list of VMs, which lags: the backend servers and workers."""
--- a/thornport/fleet/vmlist.py
+++ b/thornport/fleet/vmlist.py
@@ -1,7 +1,7 @@
-"""The list of VMs, by the published format of Prometheus' HTTP discovery.
+"""Reads the list of VMs, in the format of Prometheus' HTTP service discovery.
 
-The list lags, so it is only a hint: what a backend server or a worker says
-of itself is believed over it.
+The list lags, so it is only a hint: what a backend server or a worker reports
+about itself takes precedence.
 """
 
 import enum
@@ -18,27 +18,28 @@
 
 
 class Role(enum.Enum):
-    """What runs on a VM, as far as thornport cares."""
+    """The roles of VMs that thornport uses."""
 
     BACKEND = "backend"
     WORKER = "worker"
 
 
 class Group(msgspec.Struct, frozen=True):
-    """One element of the published format."""
+    """One element of the list: targets that share labels."""
 
     targets: list[str]
     labels: dict[str, str] = {}
 
 
 class Listed(msgspec.Struct, frozen=True):
-    """One address on the list.
+    """One address on the list, with its labels.
 
     Attributes:
       address: A str, `IP:PORT`.
       service: A str, the service a backend server belongs to.
-      vm, hall, rack: A str each, empty if not said.
-      leaving: A bool, whether the list says it is leaving.
+      vm, hall, rack: A str each. Without a label, vm is the address and the others
+        are empty.
+      leaving: A bool, whether its state label is `leaving`.
     """
 
     address: str
@@ -50,7 +51,7 @@
 
 
 class ListError(msgspec.Struct, frozen=True):
-    """Why the list could not be read."""
+    """The reason why the list could not be read."""
 
     reason: str
 
@@ -59,7 +60,7 @@
 
 
 def select_role(groups, role):
-    """Take the addresses of one role from the list.
+    """Select the addresses with a role from the list.
 
     Args:
       groups: A list of Group.
@@ -85,7 +86,7 @@
 
 
 def list_vms(groups):
-    """List the VMs that the list names, whatever their role.
+    """Collect the names of the VMs on the list, of any role.
 
     Args:
       groups: A list of Group.
@@ -96,13 +97,14 @@
 
 
 async def read_list(reactor, http, url, timeout_s):
-    """Read the list.
+    """Fetch and decode the list.
 
     Args:
       reactor: Twisted's reactor.
       http: A treq HTTPClient.
-      url: A str.
-      timeout_s: A float, seconds until the answer, and the longest pause in it.
+      url: A str, the address of the list.
+      timeout_s: A float, the limit in seconds for the response to begin and for each
+        pause while its body is read.
     Returns:
       A Result of a list of Group, or ListError.
     """
@@ -110,7 +112,7 @@
         response = await http.get(url, timeout=timeout_s)
         body = await httpbody.read_body(reactor, response, timeout_s)
     except Exception as error:
-        # Whatever ends the call, the list known so far stays in use.
+        # On any failure of the call, the last list read stays in use.
         return result.Failure(ListError(str(error)))
     if response.code != HTTP_OK:
         return result.Failure(ListError(f"status {response.code}"))
--- a/thornport/settings/__init__.py
+++ b/thornport/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The tree of settings: declarations, inheritance, edits, what is in force."""
+"""The settings tree: declarations, inheritance, edits and the revision in force."""
--- a/thornport/settings/compile.py
+++ b/thornport/settings/compile.py
@@ -1,7 +1,7 @@
-"""From a tree of strings to typed objects, finding every fault on the way.
+"""Compiles a tree of strings into typed objects and collects every fault.
 
-The same function serves the check of an operator's files, where each value
-has a file and a line, and the daemons, where a tree comes from the store.
+The same function checks an operator's files, where each value has a file and a
+line, and compiles the trees that daemons read from the store.
 """
 
 import msgspec
@@ -13,14 +13,14 @@
 
 
 class Place(msgspec.Struct, frozen=True):
-    """Where an operator wrote something."""
+    """The file and line where an operator declared a branch or a key."""
 
     path: str
     line: int
 
 
 class Config(msgspec.Struct, frozen=True):
-    """The objects that one revision declares, each kind by name."""
+    """The objects that one revision declares, by kind and name."""
 
     revision: int
     tiers_by_name: dict[str, schema.Tier]
@@ -33,13 +33,13 @@
 
 
 def read_documents(documents):
-    """Join files into the branches of a tree.
+    """Merge parsed files into the branches of a tree.
 
     Args:
       documents: A list of inifile.Document.
     Returns:
       A triple of a dict as Tree.by_path, a dict from (branch, key) to Place,
-      where key None is the branch itself, and a list of Problem.
+      where key None stands for the branch itself, and a list of Problem.
     """
     by_path = {}
     places = {}
@@ -62,15 +62,15 @@
 
 
 def compile_tree(revision, by_path, places=None):
-    """Turn the branches into typed objects.
+    """Compile the branches into typed objects.
 
     Args:
       revision: An int.
       by_path: A dict as in Tree.
-      places: A dict as read_documents makes it, or None.
+      places: A dict as returned by read_documents, or None.
     Returns:
-      A pair of a Config and a list of Problem. With problems, the Config
-      holds the objects that have none.
+      A pair of a Config and a list of Problem. If there are problems, the
+      Config holds only the objects that could be compiled.
     """
     places = places or {}
     problems = check_keys(by_path, places)
@@ -94,20 +94,20 @@
 
 
 def find_place(places, path, key):
-    """Find where a key of a branch, or else the branch, was written.
+    """Find where a key is declared, or else where its branch is.
 
     Args:
-      places: A dict as read_documents makes it.
+      places: A dict as returned by read_documents.
       path: A str.
       key: A str or None.
     Returns:
-      A Place; that of the store when nothing is known.
+      A Place; Place(STORED, 0) if neither place is known.
     """
     return places.get((path, key)) or places.get((path, None)) or Place(STORED, 0)
 
 
 def make_problem(places, path, key, text):
-    """Make a Problem at the place of a key.
+    """Create a Problem at the place of a key.
 
     Args:
       places, path, key: As in find_place.
@@ -120,11 +120,11 @@
 
 
 def check_keys(by_path, places):
-    """Check the kind, and every key and value, of each branch by itself.
+    """Check the kind, the keys and the values of each branch on its own.
 
     Args:
       by_path: A dict as in Tree.
-      places: A dict as read_documents makes it.
+      places: A dict as returned by read_documents.
     Returns:
       A list of Problem.
     """
@@ -156,9 +156,9 @@
 
     Args:
       value: A str.
-      field_type: A type as msgspec understands it.
+      field_type: A type that msgspec supports.
     Returns:
-      A str saying what is wrong, or None.
+      A str that describes the fault, or None.
     """
     try:
         msgspec.convert(value, field_type, strict=False)
@@ -168,16 +168,16 @@
 
 
 def compile_leaf(by_path, path, struct_type, places):
-    """Make the object of one leaf.
+    """Create the object of one leaf.
 
     Args:
       by_path: A dict as in Tree.
       path: A str.
       struct_type: The struct type of its kind.
-      places: A dict as read_documents makes it.
+      places: A dict as returned by read_documents.
     Returns:
-      A pair of the object, or None, and a list of Problem about keys that
-      are missing. Faults of values are check_keys' to report.
+      A pair of the object, or None, and a list of Problem about missing keys.
+      Invalid values are reported by check_keys.
     """
     merged = tree.merge_branch(by_path, path)
     values = {key: value for key, (value, _) in merged.items()}
@@ -195,11 +195,11 @@
 
 
 def check_references(config, places):
-    """Check that what objects name exists.
+    """Check that the tiers and workspaces that objects refer to exist.
 
     Args:
       config: A Config.
-      places: A dict as read_documents makes it.
+      places: A dict as returned by read_documents.
     Returns:
       A list of Problem.
     """
@@ -226,6 +226,6 @@
     Args:
       text: A str.
     Returns:
-      A list of str, none empty.
+      A list of non-empty str, without surrounding spaces.
     """
     return [name.strip() for name in text.split(",") if name.strip()]
--- a/thornport/settings/compile_test.py
+++ b/thornport/settings/compile_test.py
@@ -1,4 +1,4 @@
-"""Tests of the check of declarations."""
+"""Tests of compiling declarations and reporting their faults."""
 
 import unittest
 
@@ -40,7 +40,7 @@
 
 
 class Check(unittest.TestCase):
-    """Declarations checked whole."""
+    """Guards against lost inheritance and faults reported without their line."""
 
     def test_leaf_inherits_from_every_parent(self):
         config, problems = check(RIGHT)
@@ -49,7 +49,7 @@
         self.assertEqual((job.cores, job.memory_mb, job.tasks), (2.0, 4096, 3))
         self.assertEqual(list(config.jobs_by_name), ["nightly/kigali"])
 
-    def test_every_fault_is_told_with_its_line(self):
+    def test_every_fault_is_reported_with_its_line(self):
         _, problems = check(WRONG)
         self.assertEqual([p.line for p in problems], [2, 3, 5, 6, 7, 9])
         self.assertIn("did you mean price?", problems[1].text)
--- a/thornport/settings/editing.py
+++ b/thornport/settings/editing.py
@@ -1,7 +1,7 @@
 """Edits of the tree: planned against a revision, applied by compare-and-swap.
 
-An edit is accepted once it is durable in the store. If the answer of the
-write is lost, it is read back; only then is anything said.
+An edit is accepted once it is durable in the store. If the answer to the write
+is lost, the key is read back before the outcome is reported.
 """
 
 import msgspec
@@ -17,7 +17,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One key of one branch that differs; None stands for absent."""
+    """One key of one branch that differs; None means that the key is absent."""
 
     path: str
     key: str
@@ -26,7 +26,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """What an edit would do to the revision it was planned at."""
+    """The changes that an edit makes to the revision it was planned against."""
 
     revision: int
     changes: list[Change]
@@ -35,18 +35,18 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The edit is durable at a revision."""
+    """The edit is durable, as the given revision."""
 
     revision: int
 
 
 class EditError(msgspec.Struct, frozen=True):
-    """Why an edit was not accepted.
+    """The reason why an edit was not accepted.
 
     Attributes:
-      reason: A str for a person.
-      known: A bool; False when the edit may yet turn out applied.
-      paths: The branches that a racing edit changed too.
+      reason: A str, readable text.
+      known: A bool; False when the edit may have been applied.
+      paths: The branches that differ after a concurrent edit.
     """
 
     reason: str
@@ -55,13 +55,13 @@
 
 
 def plan_edit(head, by_path):
-    """Compare declared branches with the head of the store.
+    """Compare declared branches with the newest tree in the store.
 
     Args:
       head: The Tree in the store.
-      by_path: A dict as in Tree, the whole of what is declared.
+      by_path: A dict as in Tree, all declared branches.
     Returns:
-      A Plan. Its reaches_by_path tells the leaves beneath each branch changed.
+      A Plan. Its reaches_by_path lists the branches beneath each changed branch.
     """
     changes = diff_branches(head.by_path, by_path)
     changed = sorted({change.path for change in changes})
@@ -76,7 +76,7 @@
     Args:
       before, after: Dicts as in Tree.
     Returns:
-      A list of Change, in order of path and key.
+      A list of Change, sorted by path and key.
     """
     changes = []
     for path in sorted(before.keys() | after.keys()):
@@ -95,7 +95,7 @@
 
     Args:
       by_path: A dict as in Tree.
-      path: A str.
+      path: A str, the path of the branch.
     Returns:
       A sorted list of paths, without the branch itself.
     """
@@ -103,7 +103,7 @@
 
 
 async def read_head(store):
-    """Read the newest tree and the index it stands at.
+    """Read the newest tree and its index in the store.
 
     Args:
       store: A store client.
@@ -115,7 +115,7 @@
 
 
 async def apply_plan(store, plan):
-    """Commit a plan if the store is still at its revision.
+    """Commit a plan if the store is still at the revision it was planned against.
 
     Args:
       store: A store client.
@@ -136,12 +136,12 @@
 
 
 async def write_head(store, plan, index):
-    """Write the tree of a plan and find out what became of it.
+    """Write the tree of a plan and resolve the outcome of the write.
 
     Args:
       store: A store client.
       plan: A Plan.
-      index: An int, the store's index of the revision it was planned at.
+      index: An int, the store's index of the revision it was planned against.
     Returns:
       A Result of Accepted or EditError.
     """
@@ -164,7 +164,7 @@
 
 
 def describe_conflict(plan, head):
-    """Say which branches a racing edit has changed.
+    """List the branches in which the plan differs from the newest tree.
 
     Args:
       plan: A Plan.
--- a/thornport/settings/inforce.py
+++ b/thornport/settings/inforce.py
@@ -1,7 +1,7 @@
-"""Which revision is in force in this process. It only ever rises.
+"""Tracks the settings revision in force in this process, which never decreases.
 
-Pure: whatever the source of a tree, the store, a peer or a stale read, it is
-offered here, and an older or equal revision changes nothing.
+Pure: a tree from any source (the store, a peer, a stale read) is offered here,
+and an older or equal revision changes nothing.
 """
 
 from thornport.settings import compile as compiling
@@ -9,13 +9,13 @@
 
 
 class InForce:
-    """The newest tree this process has seen, and its objects.
+    """The newest tree that this process has received, and its objects.
 
     Attributes:
       config: A compiling.Config.
-      encoded: Bytes, the tree as it came, for peers that ask.
-      problems: A list of Problem in the newest tree; a faulty leaf is left
-        out and the others are in force.
+      encoded: Bytes, the tree as received, for peers that ask for it.
+      problems: A list of Problem in the newest tree; a faulty leaf is left out
+        and the others are in force.
     """
 
     __slots__ = ("config", "encoded", "problems")
@@ -27,18 +27,18 @@
 
     @property
     def revision(self):
-        """The revision in force, an int; 0 before any."""
+        """The revision in force, an int; 0 before the first tree."""
         return self.config.revision
 
     def offer(self, data):
-        """Take a tree into force if it is newer.
+        """Put a tree into force if its revision is newer.
 
         Args:
-          data: Bytes as tree.encode_tree makes them.
+          data: Bytes as returned by tree.encode_tree.
         Returns:
-          A bool, whether the revision rose.
+          A bool, whether the tree was put into force.
         Raises:
-          tree.TreeError: The bytes are not a tree.
+          tree.TreeError: The bytes do not decode to a tree.
         """
         offered = tree.decode_tree(data)
         if offered.revision <= self.revision:
--- a/thornport/settings/schema.py
+++ b/thornport/settings/schema.py
@@ -1,7 +1,7 @@
-"""The schema of the settings tree: each kind of branch, its keys and ranges.
+"""The schema of the settings tree: the kinds of branch, their keys and ranges.
 
-The first part of a branch's path is its kind. Units stand in the names of
-keys: `_ms` milliseconds, `_mb` mebibytes, `_bytes` bytes.
+The first part of a branch's path is its kind. The suffix of a key gives its
+unit: `_ms` milliseconds, `_mb` mebibytes, `_bytes` bytes.
 """
 
 import enum
@@ -27,7 +27,7 @@
 
 
 class Tier(msgspec.Struct, frozen=True):
-    """A priority tier. A higher price is served earlier.
+    """A priority tier. Tiers with a higher price are served first.
 
     Attributes:
       price: An int, the price of a unit of work at this tier.
@@ -37,12 +37,13 @@
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """A workspace: who pays, with its quotas.
+    """A workspace: the account that is charged, and its quotas.
 
     Attributes:
-      requests: An int, requests queued or running at once, per entry.
-      cores, memory_mb, accelerators: What its running tasks may add up to.
-      tiers: A str, the names of the tiers it may use, split at commas.
+      requests: An int, the limit of requests queued or running at once, per entry.
+      cores, memory_mb, accelerators: Limits on the sum over its running
+        tasks.
+      tiers: A str, the comma-separated names of the tiers it may use.
     """
 
     tiers: str
@@ -56,16 +57,16 @@
     """A service that answers requests on its backend servers.
 
     Attributes:
-      slots: An int, requests that one backend server runs at once.
-      connections: An int, connections that one backend server takes.
-      max_run_ms: An int, the longest run of a request; past it the answer
-        is given up.
-      queue_limit: An int, requests waiting at one entry.
-      max_body_bytes: An int, the largest body of a request.
-      default_deadline_ms: An int, for requests that bring no deadline.
-      max_answer_bytes: An int, the largest answer kept for a repeated key.
-      key_life_ms: An int, how long the key of a request is remembered.
-      retry_ratio: A float, retries allowed per request, on average.
+      slots: An int, the limit of requests that one backend server runs at once.
+      connections: An int, the limit of connections to one backend server.
+      max_run_ms: An int, the longest run of a request; after it the answer is
+        abandoned.
+      queue_limit: An int, the limit of requests waiting at one entry.
+      max_body_bytes: An int, the largest request body.
+      default_deadline_ms: An int, the deadline of requests that state none.
+      max_answer_bytes: An int, the largest answer stored for a repeated key.
+      key_life_ms: An int, how long the key of a request is stored.
+      retry_ratio: A float, the retries allowed per request, on average.
     """
 
     slots: Positive = 8
@@ -80,13 +81,13 @@
 
 
 class Job(msgspec.Struct, frozen=True):
-    """A job: tasks of one shape, placed on workers.
+    """A job: tasks with equal requirements, placed on workers.
 
     Attributes:
       work: A Work.
-      tier, workspace: Names of branches of those kinds.
-      tasks: An int, how many tasks, or replicas of a service.
-      cores, memory_mb, accelerators: What one task needs.
+      tier, workspace: The names of its tier and its workspace.
+      tasks: An int, the number of tasks, or of replicas of a service.
+      cores, memory_mb, accelerators: The resources that one task needs.
       run_ms: An int, the declared run time of a task.
     """
 
--- a/thornport/settings/tree.py
+++ b/thornport/settings/tree.py
@@ -1,8 +1,8 @@
-"""The tree of settings as data, and inheritance over it.
+"""The settings tree as data, and inheritance between its branches.
 
 A tree maps the path of a branch to the keys that the branch itself sets. A
-branch inherits every other key from its parents. The leaves of a kind are
-its objects: leaf `services/press-desk/quotes` is service `press-desk/quotes`.
+branch inherits every other key from its parents. Each leaf of a kind declares
+one object: leaf `services/press-desk/quotes` is service `press-desk/quotes`.
 """
 
 import zlib
@@ -13,15 +13,15 @@
 
 
 class TreeError(Exception):
-    """Bytes from the store or a peer are not a tree."""
+    """Bytes from the store or a peer do not decode to a tree."""
 
 
 class Tree(msgspec.Struct, frozen=True):
     """One revision of the settings.
 
     Attributes:
-      revision: An int that rises with each accepted edit.
-      edit_id: A str, the edit that made this revision.
+      revision: An int that increases with each accepted edit.
+      edit_id: A str, the edit that created this revision.
       by_path: A dict from branch path to a dict from key to value, all str.
     """
 
@@ -41,7 +41,7 @@
     Args:
       tree: A Tree.
     Returns:
-      Bytes, the same for the same tree.
+      Bytes; equal trees encode to the same bytes.
     """
     return zlib.compress(ENCODER.encode(tree))
 
@@ -50,11 +50,11 @@
     """Decode a tree.
 
     Args:
-      data: Bytes, as encode_tree makes them, or none for the empty tree.
+      data: Bytes as returned by encode_tree; no bytes decode to the empty tree.
     Returns:
       A Tree.
     Raises:
-      TreeError: The bytes are not a tree.
+      TreeError: The bytes do not decode to a tree.
     """
     if not data:
         return EMPTY
@@ -67,10 +67,10 @@
 
 
 def list_ancestors(path):
-    """List a branch and its parents, the topmost first.
+    """List a branch and its ancestors, from the root down.
 
     Args:
-      path: A str, parts joined by `/`.
+      path: A str, the path of a branch: parts separated by `/`.
     Returns:
       A list of str, ending with the path itself.
     """
@@ -79,13 +79,14 @@
 
 
 def merge_branch(by_path, path):
-    """Work out every key in force at a branch.
+    """Resolve every key that a branch sets or inherits.
 
     Args:
       by_path: A dict as in Tree.
-      path: A str.
+      path: A str, the path of the branch.
     Returns:
-      A dict from key to a pair of value and the path that it comes from.
+      A dict from key to a pair of the value and the path of the branch that
+      sets it.
     """
     merged = {}
     for ancestor in list_ancestors(path):
@@ -101,7 +102,7 @@
       by_path: A dict as in Tree.
       kind: A str, the first part of the paths.
     Returns:
-      A sorted list of str. The kind's own branch is never a leaf.
+      A sorted list of paths. The top branch of the kind is never a leaf.
     """
     prefix = kind + "/"
     paths = {path for path in by_path if path.startswith(prefix)}
