--- a/thornport/commands/main.py
+++ b/thornport/commands/main.py
@@ -59,7 +59,7 @@
     shares = dict(pair.split("=") for pair in tier) or {"normal": "1"}
     weights = {name: float(share) for name, share in shares.items()}
     mix = arrivals.Mix(rate, count, weights, not_repeatable, deadline_ms, body_bytes)
-    where = driver.Where(list(entry), service, workspace, list(backend))
+    where = driver.LoadTarget(list(entry), service, workspace, list(backend))
     made = offline.run_load(where, mix, seed, callers)
     typer.echo(msgspec.json.encode(made) if json else load_report.format_report(made))
     if made.doubled or made.untrue:
--- a/thornport/commands/offline.py
+++ b/thornport/commands/offline.py
@@ -151,7 +151,7 @@
     """Run load and wait for its end.
 
     Args:
-      where: A driver.Where.
+      where: A driver.LoadTarget.
       mix: An arrivals.Mix.
       seed: An int.
       callers: An int, a closed loop of so many; 0 for open-loop arrivals.
--- a/thornport/load/__init__.py
+++ b/thornport/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: open-loop requests at entries, each answer checked."""
+"""The load generator: sends requests to entries and checks each answer."""
--- a/thornport/load/arrivals.py
+++ b/thornport/load/arrivals.py
@@ -1,7 +1,7 @@
-"""When which request arrives: drawn once, from a seed, before anything is sent.
+"""Draws the arrival times of requests from a seed, before any is sent.
 
-Pure. Arrivals are open-loop: they do not wait for answers, so that a slow
-system is measured from the time a caller meant to ask.
+Pure. Arrivals are open-loop: they do not wait for answers, so the latency of a
+slow system counts from the time at which a request was due.
 """
 
 import random
@@ -10,15 +10,15 @@
 
 
 class Mix(msgspec.Struct, frozen=True):
-    """What is asked for.
+    """The mix of requests in a run.
 
     Attributes:
-      rate: A float, requests a second on average.
-      count: An int, requests in all.
-      weight_by_tier: A dict from tier to its share.
+      rate: A float, the average number of requests per second.
+      count: An int, the total number of requests.
+      weight_by_tier: A dict from tier to its relative weight.
       not_repeatable: A float, the share of requests that may run only once.
-      deadline_ms: An int, given with each request.
-      body_bytes: An int, the size of each body.
+      deadline_ms: An int, the deadline stated in each request.
+      body_bytes: An int, the size that shorter bodies are padded to.
     """
 
     rate: float
@@ -30,11 +30,11 @@
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """One request to come.
+    """One request of a run.
 
     Attributes:
-      at_s: A float, seconds from the start.
-      key: A str, its own in this run.
+      at_s: A float, the due time in seconds from the start.
+      key: A str, unique in the run.
     """
 
     at_s: float
@@ -51,7 +51,7 @@
       mix: A Mix.
       seed: An int.
     Returns:
-      A list of Arrival in order of time, the same for the same arguments.
+      A list of Arrival, sorted by time; equal arguments give equal lists.
     """
     choices = random.Random(seed)
     tiers = sorted(mix.weight_by_tier)
--- a/thornport/load/report.py
+++ b/thornport/load/report.py
@@ -1,4 +1,4 @@
-"""What came of a run of load: outcomes, latencies, and what really ran."""
+"""Reports on a run of load: outcomes, latencies and wrong or missing outcomes."""
 
 import collections
 
@@ -15,11 +15,11 @@
 
 
 class TierReport(msgspec.Struct):
-    """What came of the requests of one tier.
+    """The outcomes and latencies of the requests of one tier.
 
     Attributes:
-      latency_ms: By percentile, of answered requests, from the time each was
-        meant to be sent.
+      latency_ms: A dict from percentile to the latency of answered requests,
+        from the time each was due.
     """
 
     sent: int
@@ -29,13 +29,13 @@
 
 
 class Report(msgspec.Struct):
-    """What came of a run.
+    """The results of a run.
 
     Attributes:
-      answered_per_s: A float, over the time of the whole run.
-      doubled: Keys of requests that may run only once and ran twice or more.
-      untrue: Keys of requests said not to have run that ran.
-      lost: Keys of requests that got no outcome at all.
+      answered_per_s: A float, the average over the whole run.
+      doubled: Keys of requests that may run only once but ran more than once.
+      untrue: Keys of requests that were reported as not run but ran.
+      lost: Keys of requests that received no outcome.
     """
 
     seconds: float
@@ -47,23 +47,24 @@
 
 
 class Recorder:
-    """Collects the ends of requests as they come."""
+    """Collects the outcomes of requests as they end."""
 
     def __init__(self):
-        """Start with none."""
+        """Create an empty recorder."""
         self._histogram_by_tier = {}
         self._outcomes_by_tier = {}
         self._reasons_by_tier = {}
         self._ended = []
 
     def record(self, arrival, outcome, reason, latency_s):
-        """Record the end of one request.
+        """Record the outcome of one request.
 
         Args:
           arrival: An arrivals.Arrival.
-          outcome: A str as in the answer's header, NO_OUTCOME or WRONG.
-          reason: A str.
-          latency_s: A float, from the time it was meant to be sent.
+          outcome: A str: the value of the answer's outcome header, NO_OUTCOME, or
+            WRONG for a body other than the one sent.
+          reason: A str, empty if none was given.
+          latency_s: A float, from the time the request was due.
         """
         tier = arrival.tier
         if tier not in self._histogram_by_tier:
@@ -80,12 +81,12 @@
         self._ended.append((arrival, outcome))
 
     def make_report(self, seconds, runs_by_key):
-        """Make the report of the run.
+        """Create the report of the run.
 
         Args:
-          seconds: A float, how long the run took.
-          runs_by_key: A dict from key to how often it ran, as the backend
-            servers count; empty if they were not asked.
+          seconds: A float, the duration of the run.
+          runs_by_key: A dict from key to its number of runs, as counted by the
+            backend servers; empty if they were not asked.
         Returns:
           A Report.
         """
@@ -120,7 +121,7 @@
 
 
 def format_report(report):
-    """Format a report for a person.
+    """Format a report as readable text.
 
     Args:
       report: A Report.
@@ -128,12 +129,16 @@
       A str of a few lines.
     """
     lines = [f"{report.answered_per_s:.0f} answered a second, {report.seconds:.1f} s"]
-    for tier, said in sorted(report.by_tier.items()):
-        outcomes = ", ".join(f"{n} {o}" for o, n in sorted(said.by_outcome.items()))
-        spread = ", ".join(f"{p} {ms:.1f} ms" for p, ms in said.latency_ms.items())
+    for tier, tier_report in sorted(report.by_tier.items()):
+        outcomes = ", ".join(
+            f"{n} {o}" for o, n in sorted(tier_report.by_outcome.items())
+        )
+        spread = ", ".join(
+            f"{p} {ms:.1f} ms" for p, ms in tier_report.latency_ms.items()
+        )
         lines.append(f"{tier}: {outcomes}; {spread}")
-        if said.by_reason:
-            lines.append(f"  given up: {said.by_reason}")
+        if tier_report.by_reason:
+            lines.append(f"  given up: {tier_report.by_reason}")
     lines.append(
         f"doubled {len(report.doubled)}, untrue {len(report.untrue)}, "
         f"lost {len(report.lost)}"
