--- a/thornport/commands/__init__.py
+++ b/thornport/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: thin mains over the library."""
+"""The command line, a thin layer over the library."""
--- a/thornport/commands/exits.py
+++ b/thornport/commands/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes that the commands of `thornport` have in common, for scripts."""
+"""Exit codes shared by the commands of `thornport`, for use in scripts."""
 
 REFUSED = 1  # nothing was changed
-UNKNOWN = 3  # something may be changed: the answer was lost
+UNKNOWN = 3  # something may have changed: the answer was lost
--- a/thornport/commands/jobs.py
+++ b/thornport/commands/jobs.py
@@ -1,9 +1,9 @@
-"""`thornport jobs`: hand in, watch, cancel and explain jobs; prints JSON.
+"""`thornport jobs`: submit, watch, cancel and explain jobs; prints JSON.
 
-It speaks the interface of `cell.web`, so that operators need no client of their
-platform's. The exit code tells a script whether a job may be kept. A key of a workspace
-comes from a file or from the environment, never from an argument, which all users of a
-machine may see.
+The commands call the HTTP interface of `cell.web`, so operators need no platform
+client. The exit code tells a script whether a job may be durable. The key of a
+workspace is read from a file or the environment, never from an argument, since all
+users of a host can see arguments.
 """
 
 import os
@@ -18,11 +18,11 @@
 
 from thornport.commands import exits, offline
 
-TIMEOUT_S = 10.0  # a process answers within its patience of 3 s
+TIMEOUT_S = 10.0  # a process answers within its own limit of 3 s
 KEY_VARIABLE = "THORNPORT_KEY"
 STATUS_OK = 200
-STATUS_UNKNOWN = 504  # the job or cancel may be kept
-STATUS_NO_ANSWER = 0  # of a call that changed nothing; no status of HTTP
+STATUS_UNKNOWN = 504  # the job or its cancellation may be durable
+STATUS_NO_ANSWER = 0  # not an HTTP status: the call had no answer and changed nothing
 
 app = typer.Typer(no_args_is_help=True, help="Jobs of a running cell.")
 
@@ -51,7 +51,7 @@
         ),
     ] = None,
 ):
-    """Hand in a job that a JSON file describes."""
+    """Submit a job that a JSON file describes."""
     chosen = job_id or uuid.uuid4().hex[:16]
     target = f"{url}/v1/queues/{queue}/jobs/{chosen}"
     call("PUT", target, path.read_bytes(), read_key(key_file))
@@ -94,9 +94,9 @@
     """Read the key of a workspace.
 
     Args:
-      path: A pathlib.Path of a file that holds it; None to look at the environment.
+      path: A pathlib.Path of the file with the key; None to read the environment.
     Returns:
-      A str, empty when there is none.
+      A str, empty if there is no key.
     """
     if path is not None:
         return path.read_text(encoding="utf-8").strip()
@@ -104,14 +104,14 @@
 
 
 def call(method, url, body=None, key=""):
-    """Call a process, print its answer and exit by its status.
+    """Send a request to a process, print the answer and exit by its status.
 
     Args:
       method, url: A str each.
       body: Bytes or None.
-      key: A str, of a workspace; empty for none.
+      key: A str, the key of a workspace; empty for none.
     Raises:
-      typer.Exit: The answer is no success.
+      typer.Exit: The status is not STATUS_OK.
     """
     status, text = offline.run_in_reactor(lambda reactor: ask(method, url, body, key))
     typer.echo(text, err=status != STATUS_OK)
@@ -122,13 +122,14 @@
 
 
 async def ask(method, url, body, key=""):
-    """Call a process.
+    """Send a request to a process.
 
     Args:
       method, url, body, key: As for `call`.
     Returns:
-      A pair of the status and the answer's text. Without an answer the status is
-      STATUS_UNKNOWN if the call may have changed something, else STATUS_NO_ANSWER.
+      A pair of the status and the text of the answer. Without an answer the status
+      is STATUS_UNKNOWN if the request may have changed something, else
+      STATUS_NO_ANSWER.
     """
     try:
         headers = {"Authorization": f"Bearer {key}"} if key else {}
--- a/thornport/commands/main.py
+++ b/thornport/commands/main.py
@@ -1,4 +1,4 @@
-"""The command `thornport`: a thin main over the library."""
+"""The command `thornport`, a thin layer over the library."""
 
 import pathlib
 from typing import Annotated
@@ -25,7 +25,7 @@
 
 @app.command()
 def entry(path: pathlib.Path):
-    """Run an entry with the settings of a process."""
+    """Run an entry with a process settings file."""
     from thornport.entry import daemon
 
     daemons.run(daemon.Entry, str(path))
@@ -33,7 +33,7 @@
 
 @app.command()
 def placer(path: pathlib.Path):
-    """Run a placer with the settings of a process."""
+    """Run a placer with a process settings file."""
     from thornport.placement import daemon
 
     daemons.run(daemon.PlacerDaemon, str(path))
@@ -55,7 +55,7 @@
     backend: Annotated[list[str], typer.Option(help="Stand-in to count at.")] = (),
     json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ):
-    """Send open-loop requests, check every answer, and report."""
+    """Send requests, open-loop unless --callers is set; check every answer; report."""
     shares = dict(pair.split("=") for pair in tier) or {"normal": "1"}
     weights = {name: float(share) for name, share in shares.items()}
     mix = arrivals.Mix(rate, count, weights, not_repeatable, deadline_ms, body_bytes)
@@ -114,8 +114,8 @@
     workspaces = stages.compute_workspaces(made.jobs)
     windows = burn.compute_windows(made.jobs, level, window_s)
     if json:
-        told = logfiles.Report(queues, workspaces, windows, made.left_out)
-        typer.echo(msgspec.json.encode(told))
+        full_report = logfiles.Report(queues, workspaces, windows, made.left_out)
+        typer.echo(msgspec.json.encode(full_report))
         return
     typer.echo(stages.format_rows("queue", queues))
     if workspaces:
@@ -132,7 +132,7 @@
 
 
 def load_or_exit(files):
-    """Load declarations, or print every fault and exit.
+    """Load declarations; if any is faulty, print every fault and exit.
 
     Args:
       files: A list of pathlib.Path.
--- a/thornport/commands/offline.py
+++ b/thornport/commands/offline.py
@@ -1,4 +1,4 @@
-"""What the command line does with declarations and the store."""
+"""Runs command-line operations on declarations and the store, and load runs."""
 
 import pathlib
 
@@ -23,7 +23,7 @@
     Returns:
       A dict as Tree.by_path.
     Raises:
-      problem.ProblemsError: With every fault in every file.
+      problem.ProblemsError: The declarations have faults; lists every one.
     """
     documents = [
         inifile.parse_text(str(path), pathlib.Path(path).read_text(encoding="utf-8"))
@@ -37,12 +37,12 @@
 
 
 def run_in_reactor(make_coroutine):
-    """Run one coroutine in a reactor of its own and return what it gives.
+    """Run one coroutine in the reactor and return its result.
 
     Args:
       make_coroutine: A callable from a reactor to a coroutine.
     Returns:
-      What the coroutine returns.
+      The result of the coroutine.
     """
     outcome = []
 
@@ -52,14 +52,14 @@
     try:
         task.react(lambda reactor: defer.ensureDeferred(act(reactor)))
     except SystemExit as done:
-        # react always exits; only a failure is passed on.
+        # task.react always raises SystemExit; only a failure is passed on.
         if done.code:
             raise
     return outcome[0]
 
 
 def make_store(reactor, url):
-    """Make a client of the store for one command.
+    """Create a store client for one command.
 
     Args:
       reactor: Twisted's reactor.
@@ -75,7 +75,7 @@
 
     Args:
       by_path: A dict as Tree.by_path.
-      url: A str, the store.
+      url: A str, the URL of the store.
     Returns:
       A Result of editing.Plan or editing.EditError.
     """
@@ -107,9 +107,8 @@
 
     Args:
       by_path: A dict as Tree.by_path.
-      url: A str, the store.
-      revision: An int, refuse unless the store is at it; None for whatever
-        it is at.
+      url: A str, the URL of the store.
+      revision: An int, the revision that the store must be at; None to accept any.
     Returns:
       A Result of editing.Accepted or editing.EditError.
     """
@@ -131,12 +130,12 @@
 
 
 def format_plan(plan):
-    """Format a plan for a person.
+    """Format a plan as readable text.
 
     Args:
       plan: An editing.Plan.
     Returns:
-      A str of one line a change, with the branches it reaches.
+      A str, one line per change, then one for each path that reaches branches.
     """
     lines = [f"at revision {plan.revision}: {len(plan.changes)} changes"]
     for change in plan.changes:
@@ -148,13 +147,13 @@
 
 
 def run_load(where, mix, seed, callers=0):
-    """Run load and wait for its end.
+    """Run a load test and wait until it ends.
 
     Args:
       where: A driver.LoadTarget.
       mix: An arrivals.Mix.
       seed: An int.
-      callers: An int, a closed loop of so many; 0 for open-loop arrivals.
+      callers: An int, the number of closed-loop callers; 0 for open-loop arrivals.
     Returns:
       A report.Report.
     """
--- a/thornport/report/__init__.py
+++ b/thornport/report/__init__.py
@@ -1,1 +1,1 @@
-"""Reports from the lines that processes log: time by stage, and burn."""
+"""Reports computed from log lines: time by stage, and burn of service levels."""
--- a/thornport/report/burn.py
+++ b/thornport/report/burn.py
@@ -1,20 +1,20 @@
-"""Burn of service levels: how fast a queue uses up what may go wrong.
+"""Burn of service levels: how fast a queue spends its error budget.
 
-A level of 0.99 lets one job in a hundred be late or lost. A burn of 1 uses just
-that; a burn of 10 in some window uses ten times as much.
+A level of 0.99 allows one job in a hundred to be late or lost. A burn of 1 spends
+exactly that budget; a burn of 10 in a window spends ten times as much.
 """
 
 import msgspec
 
 
 class Window(msgspec.Struct, frozen=True):
-    """A queue in one window of time.
+    """The burn of a queue in one time window.
 
     Attributes:
-      begins_at: A float, seconds since 1970.
-      owed: Jobs that were first handed in within it and not cancelled.
-      bad: Those of them that did not succeed in time.
-      burn: A float, the share of bad ones over the share that the level allows.
+      begins_at: A float, seconds since the Unix epoch.
+      owed: An int, jobs first submitted within the window and not cancelled.
+      bad: An int, those of them that did not succeed in time.
+      burn: A float, the share of bad jobs divided by the share that the level allows.
     """
 
     queue: str
@@ -29,10 +29,10 @@
 
     Args:
       jobs: An iterable of timelines.Timeline.
-      level: A float below 1, the share of jobs to be in time.
+      level: A float below 1, the share of jobs that must succeed in time.
       window_s: A float, seconds.
     Returns:
-      A list of Window, by queue and time.
+      A list of Window, sorted by queue and time.
     """
     owed = {}
     bad = {}
@@ -51,12 +51,12 @@
 
 
 def format_windows(windows):
-    """Format windows for people.
+    """Format windows as a readable table.
 
     Args:
       windows: A list of Window.
     Returns:
-      A str, a line each, the time as seconds after the first.
+      A str, one line per window, with its time in seconds after the first window.
     """
     first = min((window.begins_at for window in windows), default=0.0)
     return "\n".join(
--- a/thornport/report/lines.py
+++ b/thornport/report/lines.py
@@ -1,6 +1,6 @@
-"""Reading back the lines that `kernel.logs` writes.
+"""Parser for the log lines that `kernel.logs` writes.
 
-A collector may have put something before a line, so a line begins at its `time=`.
+A log collector may add a prefix to a line, so parsing starts at `time=`.
 """
 
 import json
@@ -13,14 +13,14 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """A line of a log.
+    """A parsed log line.
 
     Attributes:
-      time: A float, seconds since 1970 by the clock of the process.
+      time: A float, seconds since the Unix epoch by the clock of the process.
       event: A str.
-      process: A str, the name of the process; empty if not said.
-      value_by_field: The other fields as texts, by name.
-      text: A str, the line itself.
+      process: A str, the name of the process; empty if the line has none.
+      value_by_field: The values of the other fields as strings, by field name.
+      text: A str, the line without a collector's prefix.
     """
 
     time: float
@@ -31,15 +31,15 @@
 
 
 def read_count(line, field):
-    """Read a field that is a whole number.
+    """Read an integer field.
 
     Args:
       line: A Line.
       field: A str.
     Returns:
-      An int, 0 when there is no such field.
+      An int, 0 if the line has no such field.
     Raises:
-      LineError: The field is no number.
+      LineError: The field is not an integer.
     """
     text = line.value_by_field.get(field, "0")
     try:
@@ -49,18 +49,18 @@
 
 
 class LineError(Exception):
-    """A text begins like a line of ours, and can't be read as one."""
+    """A text starts like a log line of thornport but cannot be parsed."""
 
 
 def parse_line(text):
-    """Parse a line.
+    """Parse a log line.
 
     Args:
       text: A str.
     Returns:
-      A Line, or None when the text is no line of ours.
+      A Line, or None if the text is not a log line of thornport.
     Raises:
-      LineError: It begins as one, and is broken.
+      LineError: The text starts like a log line but is malformed.
     """
     begins = text.find(LINE_START)
     if begins < 0 or " event=" not in text[begins:]:
@@ -76,14 +76,14 @@
 
 
 def unquote(value):
-    """Take the quotes off a value that has them.
+    """Remove the quotes of a quoted value; return any other value unchanged.
 
     Args:
-      value: A str, as it stands in the line.
+      value: A str, as written in the line.
     Returns:
       A str.
     Raises:
-      LineError: What is quoted is no JSON text.
+      LineError: The quoted value is not a valid JSON string.
     """
     if not value.startswith('"'):
         return value
@@ -94,13 +94,14 @@
 
 
 def read_lines(stream, take_error):
-    """Read the lines of a log.
+    """Parse the lines of a log, skipping those that thornport did not write.
 
     Args:
       stream: An iterable of str.
-      take_error: A callable of the number of a broken line and its LineError.
+      take_error: A callable that gets the number of each malformed line, from 1,
+        and its LineError.
     Yields:
-      Each Line, in order.
+      Each Line, in the order of the log.
     """
     for number, text in enumerate(stream, start=1):
         try:
--- a/thornport/report/logfiles.py
+++ b/thornport/report/logfiles.py
@@ -1,7 +1,7 @@
-"""Log files read for a report.
+"""Reads the log files of a report.
 
-A job passes through several processes, and each logs its part in a file of its own;
-only all of them together, by time, say what became of it.
+A job passes through several processes, each with its own log file, so the files are
+merged by time to reconstruct the history of a job.
 """
 
 import msgspec
@@ -10,10 +10,11 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """All of a report, for programs.
+    """A whole report, encoded as JSON for programs.
 
     Attributes:
-      left_out: An int, lines that the processes left out to stay in their bound.
+      left_out: An int, lines that the processes omitted to stay within their log
+        bound.
     """
 
     queues: list[stages.JobsRow]
@@ -23,10 +24,10 @@
 
 
 class Logs(msgspec.Struct, frozen=True):
-    """What log files hold.
+    """The contents of the log files.
 
     Attributes:
-      lines_by_job: Lists of lines.Line by job id, in the order of time.
+      lines_by_job: Lists of lines.Line by job id, sorted by time.
       jobs: A list of timelines.Timeline.
       left_out: As in Report.
     """
@@ -37,11 +38,12 @@
 
 
 def read_files(paths, warn):
-    """Read log files, those of several processes together.
+    """Read the log files of all processes and merge them by time.
 
     Args:
       paths: A list of pathlib.Path.
-      warn: A callable of a str, told of each broken line with its place.
+      warn: A callable of a str, called for each malformed line with its position, or
+        with its text if a field is not an integer.
     Returns:
       A Logs.
     """
@@ -67,7 +69,7 @@
 
 
 def explain_job(logs, job_id):
-    """Show all that was logged of a job, in the order of time.
+    """Format all log lines of a job in the order of time.
 
     Args:
       logs: A Logs.
--- a/thornport/report/report_test.py
+++ b/thornport/report/report_test.py
@@ -1,4 +1,4 @@
-"""Reports from logged lines: timelines, stages, burn, and broken lines."""
+"""Tests of reports from log lines: timelines, stages, burn and malformed lines."""
 
 import pathlib
 import tempfile
@@ -40,25 +40,27 @@
 
 
 class Lines(unittest.TestCase):
-    """Lines as they were logged."""
+    """Log lines are parsed back to the fields that were logged."""
 
     @given(st.text(), st.text(min_size=1))
-    def test_what_was_logged_is_read_back(self, reason, job):
+    def test_formatted_event_parses_to_the_same_fields(self, reason, job):
         event = {"message_type": "job-submitted", "job": job, "reason": reason}
         line = lines.parse_line(logs.format_event(event))
         self.assertEqual(line.event, "job-submitted")
         self.assertEqual(line.value_by_field, {"job": job, "reason": reason})
 
-    def test_broken_line_is_told_with_its_place(self):
-        told = []
+    def test_malformed_line_is_reported_with_its_number(self):
+        reported = []
         text = ["time=1.0 event=a", "time=x event=b", 'time=1.0 event=c d="\\q"']
-        read = list(lines.read_lines(text, lambda number, error: told.append(number)))
+        read = list(
+            lines.read_lines(text, lambda number, error: reported.append(number))
+        )
         self.assertEqual([line.event for line in read], ["a"])
-        self.assertEqual(told, [2, 3])
+        self.assertEqual(reported, [2, 3])
 
 
 class Timelines(unittest.TestCase):
-    """What becomes of the jobs of one log."""
+    """Timelines, stages and burn computed from one log."""
 
     def setUp(self):
         self.collector = collect(LOG)
@@ -71,20 +73,20 @@
         self.assertEqual((job.refusals, job.starts, job.unanswered), (1, 2, 1))
         self.assertEqual(job.ends_by_kind, {"done": 1})
 
-    def test_lines_that_were_left_out_are_told(self):
+    def test_omitted_lines_are_counted(self):
         self.assertEqual(self.collector.left_out, 7)
 
-    def test_field_that_is_no_number_is_told_and_stops_nothing(self):
+    def test_non_integer_field_is_reported_and_reading_continues(self):
         line = lines.parse_line("time=1.0 event=job-submitted job=a objective_ms=x")
         with self.assertRaises(lines.LineError):
             self.collector.take(line)
-        told = []
+        reported = []
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / "log"
             path.write_text(f"{line.text}\n{LOG}")
-            made = logfiles.read_files([path], told.append)
-        self.assertEqual(len(told), 1)
-        self.assertIn("objective_ms=x", told[0])
+            made = logfiles.read_files([path], reported.append)
+        self.assertEqual(len(reported), 1)
+        self.assertIn("objective_ms=x", reported[0])
         self.assertEqual(len(made.jobs), 4)
 
     def test_stages_of_a_queue(self):
@@ -96,7 +98,7 @@
         self.assertAlmostEqual(runs.ms_by_percentile[50.0], 400, delta=1)
         self.assertIn("queue press", stages.format_rows("queue", [row]))
 
-    def test_workspaces_are_told_apart_with_the_time_at_their_limit(self):
+    def test_workspaces_have_separate_rows_with_time_at_limit(self):
         log = "\n".join(
             (
                 "time=1.0 event=job-submitted job=a queue=q workspace=w outcome=kept",
@@ -112,10 +114,11 @@
         self.assertEqual(limited.count, 1)
         self.assertAlmostEqual(limited.ms_by_percentile[50.0], 500, delta=1)
 
-    def test_burn_counts_what_is_late_or_lost_and_not_what_was_cancelled(self):
+    def test_burn_counts_late_and_lost_jobs_but_not_cancelled_ones(self):
         jobs = self.collector.by_id.values()
         first, second = burn.compute_windows(jobs, 0.9, 2.0)
-        # Job a took 1.8 s of 0.9 s; b was in time, c was never kept.
+        # Job a took 1.8 s against an objective of 0.9 s; b was in time, and c was
+        # never durable.
         self.assertEqual((first.owed, first.bad), (1, 1))
         self.assertEqual((second.owed, second.bad), (2, 1))
         self.assertAlmostEqual(second.burn, 5.0)
--- a/thornport/report/stages.py
+++ b/thornport/report/stages.py
@@ -1,23 +1,23 @@
-"""Where the time of jobs goes, by queue and by workspace: a table of stages.
+"""Time that jobs spend in each stage, by queue and by workspace.
 
-It tells whether late jobs waited for the store, for the owner, for their workspace's
-limit, for advice and room, or ran for long, before anyone looks at single jobs.
+The table shows whether late jobs waited for the store, the owner, the limit of their
+workspace, or advice and capacity, or ran for long, without examining single jobs.
 """
 
 import msgspec
 from hdrh import histogram
 
-LONGEST_MS = 3_600_000  # of a stage; far above the longest job of the users
-DIGITS = 3  # that are exact in a time: 0.1 %
+LONGEST_MS = 3_600_000  # upper bound of a stage; far above the longest job of the users
+DIGITS = 3  # significant digits of a time: 0.1 %
 PERCENTILES = (50.0, 95.0, 99.0)
 
 
 class Stage(msgspec.Struct, frozen=True):
-    """A part of a job's time.
+    """A stage of a job, between two times of its timeline.
 
     Attributes:
-      name: A str, for people.
-      begins, ends: Names of fields of timelines.Timeline, str.
+      name: A str, as printed.
+      begins, ends: Names of fields of timelines.Timeline, a str each.
     """
 
     name: str
@@ -37,11 +37,11 @@
 
 
 class StageRow(msgspec.Struct, frozen=True):
-    """How long a stage took.
+    """Percentiles of the duration of a stage.
 
     Attributes:
-      count: An int, jobs that went through it.
-      ms_by_percentile: Floats by percentile, a float.
+      count: An int, the jobs that completed the stage.
+      ms_by_percentile: Durations in milliseconds by percentile, all floats.
     """
 
     name: str
@@ -50,14 +50,16 @@
 
 
 class JobsRow(msgspec.Struct, frozen=True):
-    """Jobs of a queue, or of a workspace: what became of them, and their stages.
+    """Outcomes and stages of the jobs of one queue or workspace.
 
     Attributes:
       name: A str, of the queue or the workspace.
-      count_by_state: Jobs by the state shown; an empty state has no end logged.
-      tries_refused, tries_unknown: Tries of callers.
-      starts, unanswered: Orders to start.
-      ends_by_kind: Ends of runs.
+      count_by_state: The number of jobs by state shown to callers; an empty state
+        means that no end was logged.
+      tries_refused, tries_unknown: Submission attempts that were refused, and those
+        whose outcome is unknown.
+      starts, unanswered: Start commands, and those without an answer.
+      ends_by_kind: The number of ended runs by kind of end.
       stages: StageRows.
     """
 
@@ -83,14 +85,14 @@
 
 
 def compute_workspaces(jobs):
-    """Compute the rows of all workspaces; as `compute_queues`, none for nobody's."""
+    """Compute the rows of all workspaces, omitting jobs that have no workspace."""
     return compute_rows(
         (job for job in jobs if job.workspace), lambda job: job.workspace
     )
 
 
 def compute_rows(jobs, read_name):
-    """Compute a row for the jobs of each name.
+    """Group jobs by name and compute a row for each group.
 
     Args:
       jobs: An iterable of timelines.Timeline.
@@ -105,7 +107,7 @@
 
 
 def compute_row(name, jobs):
-    """Compute a row.
+    """Compute the row of a queue or workspace.
 
     Args:
       name: A str.
@@ -126,7 +128,7 @@
 
 
 def compute_stage(stage, jobs):
-    """Compute a stage over the jobs that went through it.
+    """Compute the durations of a stage over the jobs that completed it.
 
     Args:
       stage: A Stage.
@@ -138,7 +140,8 @@
     for job in jobs:
         begins, ends = getattr(job, stage.begins), getattr(job, stage.ends)
         if begins is not None and ends is not None:
-            # Clocks of two processes may differ by more than a short stage.
+            # Clocks of two processes may differ by more than a short stage, so a
+            # duration may come out negative.
             taken.record_value(max(1, int((ends - begins) * 1_000_000)))
     ms_by_percentile = {
         percentile: taken.get_value_at_percentile(percentile) / 1000
@@ -174,10 +177,10 @@
 
 
 def format_rows(kind, rows):
-    """Format rows for people.
+    """Format rows as a readable table.
 
     Args:
-      kind: A str, what the rows are of: `queue` or `workspace`.
+      kind: A str, what each row stands for: `queue` or `workspace`.
       rows: A list of JobsRow.
     Returns:
       A str of lines.
--- a/thornport/report/timelines.py
+++ b/thornport/report/timelines.py
@@ -1,7 +1,7 @@
-"""What became of each job, put together from the lines of all processes.
+"""Timelines of jobs, assembled from the log lines of all processes.
 
-Processes' clocks differ by little against the stages, so times of several are set
-side by side as they are.
+Clock differences between processes are small compared with the stages, so times from
+several processes are compared without correction.
 """
 
 import msgspec
@@ -11,24 +11,26 @@
 
 
 class Timeline(msgspec.Struct):
-    """The times of one job, floats; None for what has not been logged.
+    """The times and counts of one job; a time is a float, None if it was not logged.
 
     Attributes:
       queue: A str.
-      workspace: A str, whose job it is; empty if it is nobody's.
-      objective_ms: An int, within which it is in time; 0 if not known.
-      submitted_at: When the first try of its caller was answered.
-      kept_at: When it was in the store.
-      taken_at: When an owner knew it.
-      limited_at: When a step of it first waited for its workspace's limit.
-      released_at: When a step last ceased to.
-      started_at: When the first order of it was answered.
-      ended_at: When its last run ended.
-      shown_at: When its end was kept, and shown to callers.
-      state: The end, as shown; empty before.
-      refusals, unknowns: Tries that were refused, and of which it was not known.
-      starts, unanswered: Orders to start, and those without an answer.
-      ends_by_kind: Ends of its runs.
+      workspace: A str, the workspace of the job; empty if it has none.
+      objective_ms: An int, the target for the time from submission to the shown end;
+        0 if unknown.
+      submitted_at: When the caller's first submission attempt was answered.
+      kept_at: When the job was durable in the store.
+      taken_at: When an owner first knew the job.
+      limited_at: When a step first waited for the limit of its workspace.
+      released_at: When a step last stopped waiting for that limit.
+      started_at: When a start command was first acknowledged.
+      ended_at: When the last run ended.
+      shown_at: When the end of the job was durable and visible to callers.
+      state: The final state as shown to callers; empty before the end.
+      refusals, unknowns: Submission attempts that were refused, and those whose
+        outcome is unknown.
+      starts, unanswered: Start commands, and those without an answer.
+      ends_by_kind: The number of ended runs by kind of end.
     """
 
     job_id: str
@@ -51,23 +53,23 @@
     ends_by_kind: dict[str, int] = {}
 
     def is_in_time(self):
-        """Whether it succeeded within its objective, if that is known."""
+        """Whether the job succeeded, and within its objective if that is known."""
         if self.state != record.JobState.SUCCEEDED.value:
             return False
         took_s = self.shown_at - self.submitted_at
         return not self.objective_ms or took_s * 1000 <= self.objective_ms
 
     def is_owed(self):
-        """Whether its caller wanted it to its end."""
+        """Whether the job counts towards the service level: it was not cancelled."""
         return self.state != record.JobState.CANCELLED.value
 
 
 class Collector:
-    """Takes lines and makes the timelines.
+    """Builds the timelines of jobs from log lines.
 
     Attributes:
       by_id: Timeline by job id.
-      left_out: How many lines the processes left out, to stay in their bound.
+      left_out: How many lines the processes omitted to stay within their log bound.
     """
 
     def __init__(self):
@@ -75,12 +77,14 @@
         self.left_out = 0
 
     def take(self, line):
-        """Take a line; those that name no job are passed over.
+        """Add a line to the timeline of its job, or to the count of omitted lines.
+
+        Other lines that name no job are ignored.
 
         Args:
           line: A lines.Line.
         Raises:
-          lines.LineError: A field of it is no number.
+          lines.LineError: A numeric field of the line is not an integer.
         """
         if line.event in ("lines-left-out", "lines-dropped"):
             self.left_out += lines.read_count(line, "count")
@@ -95,7 +99,7 @@
 
 
 def take_submitted(timeline, line):
-    """A try of the caller was answered."""
+    """Record the answer to a submission attempt."""
     timeline.queue = line.value_by_field.get("queue", timeline.queue)
     timeline.workspace = line.value_by_field.get("workspace", timeline.workspace)
     timeline.objective_ms = lines.read_count(line, "objective_ms")
@@ -110,22 +114,22 @@
 
 
 def take_known(timeline, line):
-    """An owner knows the job."""
+    """Record that an owner knows the job."""
     note_first(timeline, "taken_at", line.time)
 
 
 def take_limited(timeline, line):
-    """A step waits for its workspace's limit."""
+    """Record that a step waits for the limit of its workspace."""
     note_first(timeline, "limited_at", line.time)
 
 
 def take_released(timeline, line):
-    """A step waits for its workspace's limit no more."""
+    """Record that a step stopped waiting for the limit of its workspace."""
     timeline.released_at = line.time
 
 
 def take_start(timeline, line):
-    """An order to start was answered, or not."""
+    """Record the outcome of a start command."""
     timeline.starts += 1
     outcome = line.value_by_field.get("outcome")
     if outcome == "Unanswered":
@@ -135,7 +139,7 @@
 
 
 def take_end(timeline, line):
-    """A run ended; an end that its worker lists again is passed over."""
+    """Record the end of a run, except one that its worker reports again."""
     if line.value_by_field.get("new") == "False":
         return
     kind = line.value_by_field.get("how", "")
@@ -144,17 +148,17 @@
 
 
 def take_shown(timeline, line):
-    """The end of the job was kept."""
+    """Record that the end of the job is durable."""
     note_first(timeline, "shown_at", line.time)
     timeline.state = line.value_by_field.get("state", "")
 
 
 def note_first(timeline, field, time):
-    """Note the first time of something.
+    """Set a time field to the earliest time seen.
 
     Args:
       timeline: A Timeline.
-      field: A str, its field.
+      field: A str, the name of the field.
       time: A float.
     """
     known = getattr(timeline, field)
