--- a/thornport/cell/decisions/crashes_test.py
+++ b/thornport/cell/decisions/crashes_test.py
@@ -185,6 +185,7 @@
             world.run(GIVEN_UP_S)
             self.check_given_up(world)
 
+    # Examples are drawn from a digest of this function's source: renames change them.
     @settings(max_examples=25, deadline=None, derandomize=True)
     @given(st.data())
     def test_beside_other_jobs_under_mixed_trouble(self, data):
--- a/thornport/membership/guard_test.py
+++ b/thornport/membership/guard_test.py
@@ -135,9 +135,10 @@
 class Safety(unittest.TestCase):
     """A member that the ring has removed does not act."""
 
+    # Examples are drawn from a digest of this function's source: renames change them.
     @hypothesis.settings(max_examples=60, derandomize=True, deadline=None)
     @hypothesis.given(st.integers(0, 2**32))
-    def test_member_that_may_act_is_in_ring(self, seed):
+    def test_actor_is_in_ring(self, seed):
         model = Model(random.Random(seed))
         for _ in range(300):
             model.step()
--- a/thornport/once/once_test.py
+++ b/thornport/once/once_test.py
@@ -159,6 +159,7 @@
 class AtMostOnce(unittest.TestCase):
     """Guards against a second run of a key after the loss of messages or holders."""
 
+    # Examples are drawn from a digest of this function's source: renames change them.
     @hypothesis.settings(max_examples=100, derandomize=True, deadline=None)
     @hypothesis.given(st.integers(0, 2**32))
     def test_a_key_runs_at_most_once(self, seed):
--- a/thornport/placement/placer_test.py
+++ b/thornport/placement/placer_test.py
@@ -156,6 +156,7 @@
 class Placement(unittest.TestCase):
     """Tests the limits of workers, single runs of tasks, completion and price order."""
 
+    # Examples are drawn from a digest of this function's source: renames change them.
     @hypothesis.settings(max_examples=60, derandomize=True, deadline=None)
     @hypothesis.given(
         st.integers(0, 2**32),
--- a/thornport/routing/admission_test.py
+++ b/thornport/routing/admission_test.py
@@ -18,23 +18,22 @@
 class Order(unittest.TestCase):
     """The order in which requests leave the queue."""
 
+    # Examples are drawn from a digest of this function's source: renames change them.
     @hypothesis.settings(derandomize=True, deadline=None)
     @hypothesis.given(st.lists(st.integers(0, 5), max_size=60), st.integers(1, 40))
-    def test_every_request_is_dispatched_or_shed_exactly_once(self, prices, limit):
+    def test_everybody_goes_or_is_given_up_on_once(self, prices, limit):
         queue = admission.Queue(limit)
         given_up = []
         for price in prices:
             _, out = queue.offer(make_request(price), 1, 0.0)
             given_up += [entry.waiting.request for entry in out]
-        dispatched = []
+        gone = []
         while waiting := queue.take_next():
-            dispatched.append(waiting.request)
-        self.assertEqual(len(dispatched), min(limit, len(prices)))
-        self.assertEqual(sorted(r.price for r in dispatched + given_up), sorted(prices))
-        highest_prices = sorted(prices, reverse=True)[: len(dispatched)]
-        self.assertEqual(
-            sorted((r.price for r in dispatched), reverse=True), highest_prices
-        )
+            gone.append(waiting.request)
+        self.assertEqual(len(gone), min(limit, len(prices)))
+        self.assertEqual(sorted(r.price for r in gone + given_up), sorted(prices))
+        kept = sorted(prices, reverse=True)[: len(gone)]
+        self.assertEqual(sorted((r.price for r in gone), reverse=True), kept)
 
     def test_cheapest_request_is_not_starved(self):
         queue = admission.Queue(100)
--- a/thornport/routing/loans_test.py
+++ b/thornport/routing/loans_test.py
@@ -178,9 +178,10 @@
 class Slots(unittest.TestCase):
     """Slots are shared, never exceeded, and recovered after a home is lost."""
 
+    # Examples are drawn from a digest of this function's source: renames change them.
     @hypothesis.settings(max_examples=80, derandomize=True, deadline=None)
     @hypothesis.given(st.integers(0, 2**32))
-    def test_backend_never_exceeds_its_slots(self, seed):
+    def test_never_over(self, seed):
         model = Model(random.Random(seed))
         for _ in range(300):
             model.step()
@@ -273,20 +274,16 @@
         st.integers(1, 24),
         st.integers(0, 10**6),
     )
-    def test_shares_sum_to_total_and_highest_price_is_met_first(
-        self, demands, backends, turn
-    ):
+    def test_sums_are_exact_and_the_dearest_come_first(self, demands, backends, turn):
         total = 8 * backends
         shared = shares.share_slots(total, demands)
         self.assertAlmostEqual(sum(shared.values()), total)
         self.check_whole(8, backends, shared, turn)
-        highest_price = max((p for d in demands.values() for p in d), default=0)
-        wanted = sum(d.get(highest_price, 0) for d in demands.values())
+        dearest = max((p for d in demands.values() for p in d), default=0)
+        wanted = sum(d.get(dearest, 0) for d in demands.values())
         if wanted <= total:
             for one, demand in demands.items():
-                self.assertGreaterEqual(
-                    shared[one] + 1e-6, demand.get(highest_price, 0)
-                )
+                self.assertGreaterEqual(shared[one] + 1e-6, demand.get(dearest, 0))
 
     def check_whole(self, slots, backends, shared, turn):
         """Check that all slots are lent and each share is rounded up or down."""
