--- a/bench/cell.py
+++ b/bench/cell.py
@@ -98,10 +98,10 @@
 
     def look(self, worker_id):
         """Look at a worker and take its ends."""
-        request = self.core.make_hold(worker_id, self.now)
+        request = self.core.make_poll(worker_id, self.now)
         ended = self.ended_by_worker.pop(worker_id, [])
         answer = messages.HoldAnswer(int(self.now * 1000), [], ended)
-        self.core.take_hold(request, self.now, answer, self.now)
+        self.core.take_poll(request, self.now, answer, self.now)
 
     def end_due(self):
         """Let tasks end whose time is over."""
@@ -121,8 +121,8 @@
         """One round: place, keep, start."""
         self.core.place(self.now)
         while (batch := self.core.make_batch()) is not None:
-            self.core.take_kept(batch, self.now, self.now)
-        for order in self.core.take_orders():
+            self.core.take_persisted(batch, self.now, self.now)
+        for order in self.core.take_commands():
             if isinstance(order, messages.StartOrder):
                 job = self.core.jobs_by_id[order.key.job_id]
                 run_s = job.record.job.steps[0].estimate_ms / 1000
--- a/bench/gangs.py
+++ b/bench/gangs.py
@@ -267,9 +267,9 @@
     def look(self, worker_ids):
         """Look at some workers."""
         for worker_id in sorted(worker_ids):
-            request = self.core.make_hold(worker_id, self.now)
+            request = self.core.make_poll(worker_id, self.now)
             answer = self.worker_by_id[worker_id].answer(self.now)
-            self.core.take_hold(request, self.now, answer, self.now)
+            self.core.take_poll(request, self.now, answer, self.now)
 
     def decide(self):
         """A round, its records, and the answers of advice that are due."""
@@ -278,12 +278,12 @@
         if is_full:
             self.full_round_at = self.now + FULL_ROUND_S
         while (batch := self.core.make_batch()) is not None:
-            self.core.take_kept(batch, self.now, self.now)
+            self.core.take_persisted(batch, self.now, self.now)
         while self.advice and self.advice[0][0] <= self.now:
             _, _, request, good = heapq.heappop(self.advice)
             answer = messages.AdviceAnswer(good, VALID_MS)
             self.core.take_advice(request, answer, self.now)
-        for order in self.core.take_orders():
+        for order in self.core.take_commands():
             self.carry_out(order)
 
     def carry_out(self, order):
--- a/tests/worldcalls.py
+++ b/tests/worldcalls.py
@@ -8,7 +8,7 @@
 
 from standins import leased_worker
 from tests import worldlives
-from thornport.cell.decisions import lives, messages
+from thornport.cell.decisions import incarnations, messages
 
 # Starts of a task that crashes its workers: once three have crashed, two more are
 # allowed, by the users.
@@ -109,8 +109,8 @@
         self.calm_from = self.now
 
     def _carry_out(self):
-        for order in self.owner.take_orders():
-            if isinstance(order, messages.LookAgain):
+        for order in self.owner.take_commands():
+            if isinstance(order, messages.PollAgain):
                 self.open_looks.pop(order.worker_id, None)
                 continue
             is_start = isinstance(order, messages.StartOrder)
@@ -198,18 +198,18 @@
         else:
             answer = worker.hold(look.request, self.now)
             self._connected.add(worker)
-        self.owner.take_hold(look.request, look.sent_at, answer, self.now + 0.001)
+        self.owner.take_poll(look.request, look.sent_at, answer, self.now + 0.001)
 
     def _send_look(self, worker_id):
         """Send a look: the worker renews the leases when it comes."""
-        request = self.owner.make_hold(worker_id, self.now)
+        request = self.owner.make_poll(worker_id, self.now)
         if request is None:
             return None
         wait_s = request.wait_ms / 1000 if self.looks_wait else 0.0
         worker = self.workers_by_id.get(worker_id)
         if worker is not None and worker not in self._connected:
             # On a new connection, as the processes do it.
-            request, wait_s = lives.trim_first_look(request), 0.0
+            request, wait_s = incarnations.trim_first_poll(request), 0.0
         if wait_s and worker is not None and worker_id not in self.cut:
             worker.hold(request, self.now)
         return OpenLook(request, self.now, self.now + wait_s)
--- a/thornport/cell/decisions/explaining.py
+++ b/thornport/cell/decisions/explaining.py
@@ -1,6 +1,6 @@
-"""What an owner knows of a job, and why a step of it waits.
+"""Reports the state of jobs and workspaces, and why a step waits.
 
-For people who ask why their job does not run: nothing here changes anything.
+It answers people who ask why their job does not run, and makes no decisions.
 """
 
 import collections
@@ -12,9 +12,9 @@
     crashes,
     eligibility,
     messages,
+    passes,
     placing,
     reserving,
-    rounds,
     stalls,
     ticketing,
     usage,
@@ -42,7 +42,8 @@
     """A step at one of its job's times.
 
     Attributes:
-      tasks, done, live: Ints; a live task is ordered, running or being stopped.
+      tasks, done, live: Ints; a live task is commanded to start, running or being
+        stopped.
       failures: An int, failed runs.
       crash_points: An int, the most evidence that a task of it crashes its workers.
       waits_for: A Waiting.
@@ -62,8 +63,8 @@
     """A job.
 
     Attributes:
-      state: The record.JobState that callers are shown.
-      cause: The record.FailureCause of a job that has failed; None else.
+      state: The record.JobState that callers see.
+      cause: The record.FailureCause of a job that has failed; else None.
       steps: StepViews; none of a job that is over.
     """
 
@@ -77,16 +78,16 @@
 
 
 class LateStep(msgspec.Struct, frozen=True):
-    """A step that still waits when its job should have ended.
+    """A step that still waits past the objective of its job.
 
     Attributes:
       key: Its messages.StepKey.
-      waited_ms: An int, since the owner learned of its job.
+      waited_ms: An int, time since the owner learned of its job.
       waits_for: A Waiting.
       waiting: An int, its tasks without a run.
       suited: An int, workers that could hold a task if nothing else ran there.
-      asked, good: Ints, workers that advice was asked about, and that may run it.
-      ticketed: An int, workers for which it has a ticket that holds.
+      asked, good: Ints, workers that calls for advice named, and those that may run it.
+      ticketed: An int, workers for which it has a valid ticket.
     """
 
     key: messages.StepKey
@@ -103,11 +104,11 @@
     """A workspace.
 
     Attributes:
-      weight: A float, the jobs a second that are its share; 0 if it has none.
-      limit: Demand, None where nothing is limited.
-      used: Demand of what counts against the limit.
+      weight: A float, its share in jobs a second; 0 if it has none.
+      limit: Demand; None without a limit.
+      used: Demand that counts against the limit.
       waiting: An int, its jobs of which no task has begun.
-      at_limit: An int, its steps that wait for the limit.
+      at_limit: An int, its steps that wait because of the limit.
     """
 
     name: str
@@ -118,14 +119,14 @@
     at_limit: int
 
 
-class Explaining(rounds.Rounds):
+class Explaining(passes.Passes):
     """Answers questions about jobs and workspaces."""
 
     def list_workspaces(self):
         """List the workspaces that have a share, a limit or jobs.
 
         Returns:
-          A list of WorkspaceView by name.
+          A list of WorkspaceView, ordered by name.
         """
         waiting = collections.Counter()
         at_limit = collections.Counter()
@@ -154,7 +155,7 @@
         Args:
           now: A float.
         Returns:
-          A list of LateStep; a step that waits for earlier ones is not in it.
+          A list of LateStep, without steps that wait for earlier ones.
         """
         late = []
         for job in self._unended_by_id.values():
@@ -164,9 +165,13 @@
             if waited_s * 1000 < job.record.compute_objective_ms():
                 continue
             for step in job.steps_by_key.values():
-                if step.is_told_late or not step.waiting or not self._is_due(job, step):
+                if (
+                    step.is_late_reported
+                    or not step.waiting
+                    or not self._are_dependencies_done(job, step)
+                ):
                     continue
-                step.is_told_late = True
+                step.is_late_reported = True
                 late.append(self._view_late(job, step, waited_s, now))
         return late
 
@@ -179,42 +184,46 @@
             len(step.waiting),
             len(suited),
             len(step.asked_ids),
-            len(step.good_ids),
+            len(step.permitted_ids),
             sum(eligibility.has_ticket(step, worker, now) for worker in suited),
         )
 
     def take_stalls(self, now):
-        """Take steps that stand still beside room, each once for its reasons.
+        """Take the stalled steps whose reasons are new or have changed.
 
         Args:
           now: A float.
         Returns:
-          A list of stalls.Stall; what it has no place for comes the next times.
+          A list of stalls.Stall; further ones follow in the next calls.
         """
         taken = []
-        looked_at = 0
+        checked = 0
         for job in self._unended_by_id.values():
             for step in job.steps_by_key.values():
                 if not self._is_stalled(job, step, now):
-                    step.told_stall = frozenset()
+                    step.reported_stall = frozenset()
                     continue
                 if now < step.stall_due_at:
                     continue
-                step.stall_due_at = now + stalls.TOLD_AGAIN_S
+                step.stall_due_at = now + stalls.REPORT_INTERVAL_S
                 stall = self._view_stall(job, step, now)
-                if stall.reasons != step.told_stall:
-                    step.told_stall = stall.reasons
+                if stall.reasons != step.reported_stall:
+                    step.reported_stall = stall.reasons
                     taken.append(stall)
-                looked_at += 1
-                if looked_at == stalls.MOST_TOLD:
+                checked += 1
+                if checked == stalls.MAX_REPORTED:
                     return taken
         return taken
 
     def _is_stalled(self, job, step, now):
-        """Whether a step has stood still for long though its service has room."""
-        if not step.waiting or step.idle_since is None or not self._is_due(job, step):
+        """Whether a step is stalled although its service has room."""
+        if (
+            not step.waiting
+            or step.idle_since is None
+            or not self._are_dependencies_done(job, step)
+        ):
             return False
-        if now - step.idle_since < stalls.TOLD_AFTER_S:
+        if now - step.idle_since < stalls.REPORT_AFTER_S:
             return False
         listed = self._find_listed(self._queue_of(job).service)
         return step.spec.lasting or listed.used_share < stalls.FULL_SHARE
@@ -226,38 +235,38 @@
             int((now - step.idle_since) * clock.MS_PER_S),
             len(step.waiting),
             stalls.count_live(job),
-            tuple(self._list_job_holds(job, step, now)),
-            self._count_worker_holds(step, queue, now),
-            stalls.read_shares(self._find_listed(queue.service)),
+            tuple(self._list_job_blockers(job, step, now)),
+            self._count_worker_blockers(step, queue, now),
+            stalls.compute_used_shares(self._find_listed(queue.service)),
         )
 
-    def _list_job_holds(self, job, step, now):
-        """List the stalls.JobHolds of a step."""
+    def _list_job_blockers(self, job, step, now):
+        """Yield the stalls.JobBlockers of a step."""
         if not self.usage.count_startable(step, job.record.workspace):
-            yield stalls.JobHold.LIMIT
+            yield stalls.JobBlocker.LIMIT
         if (
             self._resume_at is not None
             and self._rank((job, step)) >= self._resume_at[0]
         ):
-            yield stalls.JobHold.PASSED_OVER
+            yield stalls.JobBlocker.PASSED_OVER
         if not crashes.list_startable(step, self.workers_by_id, now):
-            yield stalls.JobHold.TRIAL
+            yield stalls.JobBlocker.TRIAL
         if step.is_advising:
-            yield stalls.JobHold.ADVICE_OPEN
+            yield stalls.JobBlocker.ADVICE_OPEN
         if now < step.retry_advice_at:
-            yield stalls.JobHold.ADVICE_FAILED
+            yield stalls.JobBlocker.ADVICE_FAILED
 
-    def _count_worker_holds(self, step, queue, now):
-        """Count the workers that may run a step by what keeps it from them.
+    def _count_worker_blockers(self, step, queue, now):
+        """Count the workers that may run a step, by what blocks a start there.
 
-        Of those that advice was asked about, the others may not.
+        Workers that advice was asked about and that are not good may not run it.
         """
         needs_ticket = queue.advice is not None
-        suited = self._list_suited(step, queue)[: ticketing.WALKED_WORKERS]
-        barred_ids = step.asked_ids - step.good_ids if needs_ticket else ()
+        suited = self._list_suited(step, queue)[: ticketing.MAX_SCANNED_WORKERS]
+        barred_ids = step.asked_ids - step.permitted_ids if needs_ticket else ()
         return dict(
             collections.Counter(
-                stalls.find_worker_hold(
+                stalls.find_worker_blocker(
                     step, worker, self._last_reserved, needs_ticket, now
                 )
                 for worker in suited
@@ -266,13 +275,13 @@
         )
 
     def explain_job(self, job_id, now):
-        """Say how far a job has come and what it waits for.
+        """Describe the progress of a job and what it waits for.
 
         Args:
           job_id: A str.
           now: A float.
         Returns:
-          A JobView, or None when the job is not known.
+          A JobView, or None for an unknown job.
         """
         job = self.jobs_by_id.get(job_id)
         if job is None:
@@ -281,29 +290,29 @@
         return self._view_job(job, tuple(steps))
 
     def list_jobs(self, state=None):
-        """List the jobs that are known.
+        """List the known jobs.
 
         Args:
-          state: A record.JobState that they are in; None for any.
+          state: A record.JobState to select; None for any.
         Returns:
           A list of JobView without steps, in the order of acceptance.
         """
         return [
             self._view_job(job)
             for job in self.jobs_by_id.values()
-            if state is None or job.shown_state is state
+            if state is None or job.persisted_state is state
         ]
 
     def _view_job(self, job, steps=()):
-        kept = job.record
+        job_record = job.record
         return JobView(
             job.job_id,
-            kept.queue.name,
-            job.shown_state,
-            kept.accepted_at_ms,
+            job_record.queue.name,
+            job.persisted_state,
+            job_record.accepted_at_ms,
             steps,
-            job.cause if job.shown_state is record.JobState.FAILED else None,
-            kept.workspace,
+            job.cause if job.persisted_state is record.JobState.FAILED else None,
+            job_record.workspace,
         )
 
     def _view_step(self, job, step, now):
@@ -321,10 +330,10 @@
     def _find_waiting(self, job, step, now):
         if not step.waiting or job.is_over():
             return Waiting.NOTHING
-        if not self._is_due(job, step):
+        if not self._are_dependencies_done(job, step):
             return Waiting.EARLIER_STEPS
         name = job.record.workspace
-        if usage.is_too_wide(step, self.usage.read_limit(name)):
+        if usage.exceeds_limit(step, self.usage.read_limit(name)):
             return Waiting.OVER_LIMIT
         if not self.usage.count_startable(step, name):
             return Waiting.LIMIT
@@ -333,7 +342,7 @@
         if not suited:
             return Waiting.NO_FIT
         if queue.advice is not None:
-            good = [w for w in suited if w.worker_id in step.good_ids]
+            good = [w for w in suited if w.worker_id in step.permitted_ids]
             if not good:
                 is_asked = all(w.worker_id in step.asked_ids for w in suited)
                 return Waiting.NOT_ADVISED if is_asked else Waiting.ADVICE
--- a/thornport/cell/decisions/placing.py
+++ b/thornport/cell/decisions/placing.py
@@ -1,4 +1,7 @@
-"""Where the tasks of a step go: pure, and without any order of steps."""
+"""Assigns the tasks of one step to workers.
+
+Pure functions; the order in which steps are placed is decided in `passes`.
+"""
 
 import heapq
 
@@ -9,20 +12,20 @@
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """A task index and the worker that it goes to."""
+    """The index of a task and the worker that it is assigned to."""
 
     index: int
     worker_id: str
 
 
 class Place(msgspec.Struct, order=True):
-    """Room at a worker for a task; the lowest is the best.
+    """Free room on a worker for a task; the lowest place is the best.
 
     Attributes:
-      preference: What `compute_preference` gives.
-      rank: What `Demand.rank_room` gives of the room.
-      worker_id: A str, which no other place of a heap has.
-      free: Demand, the room.
+      preference: The result of `compute_preference`.
+      rank: The result of `Demand.rank_room` for the free room.
+      worker_id: A str, unique within a heap.
+      free: Demand, the free room.
     """
 
     preference: tuple
@@ -32,26 +35,26 @@
 
 
 class Candidates:
-    """The workers that steps of one kind may use, and the most room of any.
+    """The workers that steps of one kind may use, and the maximum of their free room.
 
     Attributes:
       has_suspects: Whether suspect workers are among them.
       workers: A list of model.Worker.
-      by_id: The same by worker id.
+      by_id: The same workers by worker id.
     """
 
     __slots__ = (
+        "_median_total",
         "_memory_mb",
         "_millicores",
         "_used_share",
-        "_usual_total",
         "by_id",
         "has_suspects",
         "workers",
     )
 
     def __init__(self, workers, has_suspects=False):
-        """Look at the room of each once.
+        """Compute the maximum free room of the workers.
 
         Args:
           workers: A list of model.Worker.
@@ -63,27 +66,27 @@
         frees = [worker.compute_free() for worker in workers]
         self._millicores = max((free.millicores for free in frees), default=-1)
         self._memory_mb = max((free.memory_mb for free in frees), default=-1)
-        self._usual_total = None
+        self._median_total = None
         self._used_share = None
 
     @property
-    def usual_total(self):
-        """Demand, what the worker in the middle has by its cores."""
-        if self._usual_total is None:
+    def median_total(self):
+        """Demand, the total of the median worker by cores."""
+        if self._median_total is None:
             totals = sorted(
                 (worker.entry.total for worker in self.workers),
                 key=lambda total: total.millicores,
             )
             middle = len(totals) // 2
-            self._usual_total = totals[middle] if totals else spec.Demand()
-        return self._usual_total
+            self._median_total = totals[middle] if totals else spec.Demand()
+        return self._median_total
 
     @property
     def used_share(self):
-        """A float, the share that is in use of the resource that has least left.
+        """The used share of the scarcest resource, a float.
 
-        Of all workers, or of those that answer if that is less: what others seem to run
-        may be lost.
+        It is the lower of the shares of all workers and of those that answer: runs on
+        silent workers may already be lost.
         """
         if self._used_share is None:
             answering = [w for w in self.workers if w.silent_since is None]
@@ -91,20 +94,22 @@
             if len(answering) < len(self.workers):
                 groups.append(answering)
             sums = (sum_room(workers) for workers in groups)
-            self._used_share = min(used.share_of(total) for total, used in sums)
+            self._used_share = min(
+                used.compute_dominant_share(total) for total, used in sums
+            )
         return self._used_share
 
     def sum_room(self):
-        """Sum the room of all workers, as the function of this name does."""
+        """Sum the total and used resources of all workers; see function `sum_room`."""
         return sum_room(self.workers)
 
-    def may_hold(self, demand):
-        """Tell whether a task could fit, by the most room that there was.
+    def may_fit(self, demand):
+        """Tell whether a task could fit, by the maximum free room when listed.
 
         Args:
           demand: A spec.Demand.
         Returns:
-          A bool; true does not mean that one worker has room for all of it.
+          A bool; true does not mean that a single worker has enough of each resource.
         """
         return (
             demand.millicores <= self._millicores
@@ -113,14 +118,14 @@
 
 
 def sum_room(workers):
-    """Sum the room of some workers.
+    """Sum the total and used resources of workers.
 
     Args:
       workers: A list of model.Worker.
     Returns:
-      A pair of spec.Demand: what they have, and what of it is in use.
+      A pair of spec.Demand: their total, and what of it is in use.
     """
-    # Plain sums: a Demand for each worker takes several times as long.
+    # Adding plain ints is several times as fast as adding a Demand for each worker.
     cores = memory = accelerators = 0
     used_cores = used_memory = used_accelerators = 0
     for worker in workers:
@@ -141,30 +146,30 @@
 
     Args:
       step: A model.StepState.
-      workers: A list of model.Worker that may run it now.
-      reserved: A reserving.Reservations of room that is kept for steps before it.
-      wants_fast: Whether it is urgent, and gets the fastest that have room;
-        others leave those free.
+      workers: A list of model.Worker that may run the step now.
+      reserved: A reserving.Reservations with the room of higher-ranked steps.
+      wants_fast: Whether the step is urgent and prefers the fastest workers; other
+        steps prefer the slowest, to leave the fast ones free.
       indexes: A sorted list of the waiting tasks that may start; None for all.
     Returns:
-      A list of Assignment; for a gang, of all its tasks or of none.
+      A list of Assignment; for a gang, either all its tasks or none.
     """
     if not step.spec.gang:
-        return fill(step, workers, reserved, wants_fast, indexes)
+        return assign_tasks(step, workers, reserved, wants_fast, indexes)
     if step.live_by_index:
         return []
     if step.spec.same_rack:
         for rack in sorted({worker.entry.rack for worker in workers}):
             within = [worker for worker in workers if worker.entry.rack == rack]
-            assigned = fill(step, within, reserved, wants_fast)
+            assigned = assign_tasks(step, within, reserved, wants_fast)
             if len(assigned) == step.spec.count:
                 return assigned
-    assigned = fill(step, workers, reserved, wants_fast)
+    assigned = assign_tasks(step, workers, reserved, wants_fast)
     return assigned if len(assigned) == step.spec.count else []
 
 
-def fill(step, workers, reserved, wants_fast=False, indexes=None):
-    """Assign waiting tasks, each to the best worker that has room.
+def assign_tasks(step, workers, reserved, wants_fast=False, indexes=None):
+    """Assign each waiting task to the best worker that has room.
 
     Args:
       step: A model.StepState.
@@ -175,39 +180,41 @@
     """
     demand = step.spec.demand
     limit = step.spec.max_per_worker or step.spec.count
-    held_by_id = count_held(step) if step.spec.max_per_worker else {}
+    live_count_by_id = count_live_by_worker(step) if step.spec.max_per_worker else {}
     places = []
     for worker in workers:
-        free = reserved.limit_room(step, worker)
-        # The workers were listed before others of this round were placed.
+        free = reserved.compute_usable_room(step, worker)
+        # Tasks placed earlier in this pass may have used the room since the listing.
         if not demand.fits(free) or eligibility.disturbs(step, worker):
             continue
-        if held_by_id.get(worker.worker_id, 0) < limit:
+        if live_count_by_id.get(worker.worker_id, 0) < limit:
             preference = compute_preference(step, worker, wants_fast)
             places.append(Place(preference, free.rank_room(), worker.worker_id, free))
     heapq.heapify(places)
     assigned = []
     for index in sorted(step.waiting) if indexes is None else indexes:
-        best = take_best(places, step.avoided_by_index.get(step.index_for(index), ()))
+        best = pop_best(places, step.avoided_by_index.get(step.index_for(index), ()))
         if best is None:
             break
         assigned.append(Assignment(index, best.worker_id))
-        held = held_by_id[best.worker_id] = held_by_id.get(best.worker_id, 0) + 1
+        live_count = live_count_by_id[best.worker_id] = (
+            live_count_by_id.get(best.worker_id, 0) + 1
+        )
         left = best.free.subtract(demand)
-        if held < limit and demand.fits(left):
+        if live_count < limit and demand.fits(left):
             place = Place(best.preference, left.rank_room(), best.worker_id, left)
             heapq.heappush(places, place)
     return assigned
 
 
-def take_best(places, avoided):
-    """Take the best place for one task.
+def pop_best(places, avoided):
+    """Pop the best place for one task.
 
     Args:
       places: A heap of Place.
-      avoided: Ids of workers on which the task failed: only if no other is left.
+      avoided: Ids of workers on which the task failed, used only if no other is left.
     Returns:
-      A Place, or None when there is none.
+      A Place, or None if the heap is empty.
     """
     skipped = []
     best = None
@@ -224,24 +231,25 @@
     return best
 
 
-def count_held(step):
+def count_live_by_worker(step):
     """Count the live runs of a step by worker id."""
-    held_by_id = {}
+    live_count_by_id = {}
     for run in step.live_by_index.values():
-        held_by_id[run.worker_id] = held_by_id.get(run.worker_id, 0) + 1
-    return held_by_id
+        live_count_by_id[run.worker_id] = live_count_by_id.get(run.worker_id, 0) + 1
+    return live_count_by_id
 
 
 def compute_preference(step, worker, wants_fast):
-    """Say how well a worker suits a step, whatever its room.
+    """Rate how well a worker suits a step, regardless of its free room.
 
     Args:
       step: A model.StepState.
       worker: A model.Worker.
       wants_fast: As for `assign_step`.
     Returns:
-      A triple that is lower for a better worker: what a crash of it would cost, if
-      the step may crash it; away from the step's data or not; then its pace.
+      A triple that is lower for a better worker: the cores in use that a crash would
+      put at risk, if the step may crash the worker; whether the worker is away from
+      the step's data; its pace.
     """
     is_away = bool(step.spec.near_rack) and step.spec.near_rack != worker.entry.rack
     grade = worker.grade_pace()
@@ -250,25 +258,25 @@
 
 
 def has_room(step, workers, reserved, tasks=0):
-    """Tell whether tasks of a step could start: all of a gang, or any.
+    """Tell whether tasks of a step could start: all of a gang, else at least one.
 
     Args:
       step: A model.StepState.
       workers: A list of model.Worker.
       reserved: As for `assign_step`.
-      tasks: An int, how many of them; 0 for as many as must start together.
+      tasks: An int, how many must fit; 0 for as many as must start together.
     Returns:
       A bool.
     """
     wanted = tasks or (step.spec.count if step.spec.gang else 1)
     limit = step.spec.max_per_worker or step.spec.count
-    held_by_id = count_held(step) if step.spec.max_per_worker else {}
+    live_count_by_id = count_live_by_worker(step) if step.spec.max_per_worker else {}
     places = 0
     for worker in workers:
         if eligibility.disturbs(step, worker):
             continue
-        most = limit - held_by_id.get(worker.worker_id, 0)
-        free = reserved.limit_room(step, worker)
+        most = limit - live_count_by_id.get(worker.worker_id, 0)
+        free = reserved.compute_usable_room(step, worker)
         places += step.spec.demand.count_in(free, most)
         if places >= wanted:
             return True
@@ -276,12 +284,12 @@
 
 
 def count_places(step, workers, times=1):
-    """Count the tasks of a step that workers could hold if nothing else ran there.
+    """Count the tasks of a step that would fit on workers if they were empty.
 
     Args:
       step: A model.StepState.
       workers: A list of model.Worker.
-      times: An int, how many times the tasks of the step count at most.
+      times: An int; the count is capped at this many times the step's tasks.
     Returns:
       An int.
     """
--- a/thornport/cell/owner/looks_test.py
+++ b/thornport/cell/owner/polling_test.py
@@ -1,4 +1,4 @@
-"""Looks go on whatever one of them comes to."""
+"""Polling goes on after an error."""
 
 import types
 import unittest
@@ -6,7 +6,7 @@
 from twisted.internet import defer, task
 
 from thornport.cell.decisions import core, messages
-from thornport.cell.owner import looks
+from thornport.cell.owner import polling
 from thornport.jobs import queue, spec
 from thornport.kernel import clock, metrics
 
@@ -22,24 +22,24 @@
 
 
 class FakeWorkers:
-    """Workers whose looks stay open until they are answered here."""
+    """Workers whose polls stay open until a test answers them."""
 
     def __init__(self):
         self.open = []
 
     def hold(self, request):
-        """Begin a look."""
+        """Start a poll."""
         self.open.append((request, defer.Deferred()))
         return self.open[-1][1]
 
     def forget(self, address):
-        """Close no connection, for there is none."""
+        """Do nothing, since there is no connection to close."""
 
 
-class Errors(unittest.TestCase):
-    """An error while an answer is taken."""
+class PollErrors(unittest.TestCase):
+    """An error while an answer is processed must not end the polling of a worker."""
 
-    def test_the_worker_is_looked_at_again(self):
+    def test_worker_is_polled_again(self):
         now = clock.read_monotonic()
         cell = core.CellCore(1, now, now, 120.0)
         cell.take_config(queue.Config(1, (QUEUE,)), now)
@@ -52,12 +52,12 @@
             is_active=True,
             pump=lambda: None,
         )
-        looking = looks.Looks(task.Clock(), session)
-        looking.look_at_new()
+        worker_polling = polling.Polling(task.Clock(), session)
+        worker_polling.poll_new_workers()
         ((_, answer),) = workers.open
-        # Rows that are no list can't be taken.
+        # Rows that are not a list raise an error while they are processed.
         answer.callback(messages.HoldAnswer(1, None, None))
-        looking.look_at_new()
+        worker_polling.poll_new_workers()
         self.assertEqual(len(workers.open), 2)
 
 
--- a/thornport/once/claims.py
+++ b/thornport/once/claims.py
@@ -1,6 +1,7 @@
-"""The entry's side: claims a caller's key with its holders before it runs.
+"""The entry's side: claims an idempotency key at its holders before the request runs.
 
-Pure: messages and time in, messages and verdicts out.
+Does no I/O: the caller passes in messages and the time, and sends the messages
+that are returned.
 """
 
 import enum
@@ -12,13 +13,14 @@
 from thornport.once import messages
 from thornport.routing import outcome
 
-PATIENCE_S = 1.0
+VOTE_TIMEOUT_S = 1.0
 
 
-class Ruling(enum.Enum):
-    """What the holders' votes come to.
+class Decision(enum.Enum):
+    """The outcome of the holders' votes.
 
-    FRESH: the request may run, and nobody else's may. All others: it may not.
+    FRESH: the request may run, and no other request with the key may. With any
+    other decision it must not run.
     """
 
     FRESH = "fresh"
@@ -30,27 +32,27 @@
     NO_QUORUM = "no-quorum"
 
 
-RULING_BY_VOTE = {
-    messages.Vote.HELD: Ruling.BUSY,
-    messages.Vote.DOUBT: Ruling.UNPROVABLE,
-    messages.Vote.FULL: Ruling.FULL,
+DECISION_BY_VOTE = {
+    messages.Vote.HELD: Decision.BUSY,
+    messages.Vote.DOUBT: Decision.UNPROVABLE,
+    messages.Vote.FULL: Decision.FULL,
 }
 
 
-class Verdict(msgspec.Struct, frozen=True):
-    """The end of a claim.
+class ClaimResult(msgspec.Struct, frozen=True):
+    """The result of a decided claim.
 
     Attributes:
-      answer: The kept answer, with DONE; None if it was not kept.
+      answer: The stored answer if the decision is DONE; None if it was not stored.
     """
 
     claim_id: str
-    ruling: Ruling
+    decision: Decision
     answer: outcome.Answer | None = None
 
 
 class Pending(msgspec.Struct):
-    """A claim that holders are voting on."""
+    """A claim and the votes received for it."""
 
     key: str
     holders: list[record.Member]
@@ -59,10 +61,10 @@
 
 
 class Claims:
-    """The claims of one entry, each open until it is finished or released."""
+    """The claims of one entry, each kept until it is finished or released."""
 
     def __init__(self):
-        """Start with no claims."""
+        """Create an empty set of claims."""
         self._incarnation = ids.make_incarnation()
         self._next = 0
         self._pending_by_id = {}
@@ -78,13 +80,13 @@
           life_ms: An int.
           now: A float.
         Returns:
-          A pair of the claim's id and a list of pairs of Member and Claim;
-          the list is empty if there is no ring.
+          A pair of the claim's id and a list of pairs of Member and Claim to
+          send; the list is empty if there is no ring.
         """
         self._next += 1
         claim_id = f"{self._incarnation}-{self._next}"
         holders = record.pick_holders(ring.members, key, messages.HOLDERS)
-        self._pending_by_id[claim_id] = Pending(key, holders, now + PATIENCE_S)
+        self._pending_by_id[claim_id] = Pending(key, holders, now + VOTE_TIMEOUT_S)
         claim = messages.Claim(ring.epoch, key, claim_id, digest, life_ms)
         return claim_id, [(member, claim) for member in holders]
 
@@ -95,50 +97,50 @@
           sender_id: A str.
           voted: A messages.Voted.
         Returns:
-          A Verdict if the claim has come to its end, else None.
+          A ClaimResult if the vote decides the claim, else None.
         """
         pending = self._pending_by_id.get(voted.claim_id)
         if pending is None:
             return None
         pending.vote_by_id[sender_id] = voted.vote
         if voted.vote is messages.Vote.DONE:
-            return self._end(voted.claim_id, Ruling.DONE, voted.answer)
+            return self._end(voted.claim_id, Decision.DONE, voted.answer)
         if voted.vote is messages.Vote.REUSED:
-            return self._end(voted.claim_id, Ruling.REUSED)
+            return self._end(voted.claim_id, Decision.REUSED)
         votes = list(pending.vote_by_id.values())
         quorum = messages.QUORUM_BY_HOLDERS[len(pending.holders)]
         if votes.count(messages.Vote.GRANTED) >= quorum:
-            return self._end(voted.claim_id, Ruling.FRESH)
+            return self._end(voted.claim_id, Decision.FRESH)
         if len(votes) == len(pending.holders):
-            return self._end(voted.claim_id, rule_without_quorum(votes))
+            return self._end(voted.claim_id, decide_without_quorum(votes))
         return None
 
-    def _end(self, claim_id, ruling, answer=None):
+    def _end(self, claim_id, decision, answer=None):
         pending = self._pending_by_id.pop(claim_id)
         self._ended_by_id[claim_id] = pending
-        return Verdict(claim_id, ruling, answer)
+        return ClaimResult(claim_id, decision, answer)
 
     def expire(self, now):
-        """End the claims whose holders stay silent.
+        """Decide the claims whose holders have not all voted in time.
 
         Args:
           now: A float.
         Returns:
-          A list of Verdict.
+          A list of ClaimResult.
         """
-        late = [c for c, p in self._pending_by_id.items() if now >= p.give_up_at]
-        verdicts = []
-        for claim_id in late:
+        overdue = [c for c, p in self._pending_by_id.items() if now >= p.give_up_at]
+        results = []
+        for claim_id in overdue:
             votes = list(self._pending_by_id[claim_id].vote_by_id.values())
-            verdicts.append(self._end(claim_id, rule_without_quorum(votes)))
-        return verdicts
+            results.append(self._end(claim_id, decide_without_quorum(votes)))
+        return results
 
     def finish(self, claim_id, answer):
-        """Tell the holders that the request has ended, or may have run.
+        """Report to the holders that the request has ended or may have run.
 
         Args:
           claim_id: A str of a FRESH claim.
-          answer: An outcome.Answer to keep, or None.
+          answer: An outcome.Answer to store, or None.
         Returns:
           A list of pairs of Member and messages.Done.
         """
@@ -147,10 +149,10 @@
         return [(member, done) for member in pending.holders]
 
     def release(self, claim_id):
-        """Tell the holders that the request was not run and will not be.
+        """Report to the holders that the request has not run and will not run.
 
         Args:
-          claim_id: A str of a claim that has come to its end.
+          claim_id: A str of a decided claim.
         Returns:
           A list of pairs of Member and messages.Release.
         """
@@ -159,15 +161,15 @@
         return [(member, release) for member in pending.holders]
 
 
-def rule_without_quorum(votes):
-    """Rule on a claim that too few holders have granted.
+def decide_without_quorum(votes):
+    """Decide a claim that too few holders have granted.
 
     Args:
       votes: A list of messages.Vote.
     Returns:
-      A Ruling other than FRESH.
+      A Decision other than FRESH.
     """
-    for vote, ruling in RULING_BY_VOTE.items():
+    for vote, decision in DECISION_BY_VOTE.items():
         if vote in votes:
-            return ruling
-    return Ruling.NO_QUORUM
+            return decision
+    return Decision.NO_QUORUM
--- a/thornport/routing/ledgers.py
+++ b/thornport/routing/ledgers.py
@@ -1,6 +1,6 @@
-"""What a home has lent of each backend server, and when it ends.
+"""The loans of each backend server and their expiry.
 
-The data of `lender`, and the counts over it that need nothing else.
+Holds the data types of `lender` and the calculations that need only these.
 """
 
 import msgspec
@@ -10,7 +10,7 @@
 
 
 class Backend(msgspec.Struct, frozen=True):
-    """A backend server as its home needs to know it."""
+    """The properties of a backend server that its home needs."""
 
     address: str
     service: str
@@ -19,23 +19,24 @@
 
 
 class Loan(msgspec.Struct):
-    """What one borrower may have running on one backend server.
+    """The slots of one backend server that are lent to one borrower.
 
     Attributes:
-      peak: An int, the highest limit among the grants it may still act on.
-      in_flight: An int, as it last said.
-      over_at: A float, past which nothing of it can be running.
+      peak: An int, the highest limit among the grants that the borrower may still
+        act on.
+      in_flight: An int, requests running there as last reported by the borrower.
+      expires_at: A float, after which no request of the loan can be running.
     """
 
     seq: int = 0
     limit: int = 0
     peak: int = 0
     in_flight: int = 0
-    over_at: float = 0.0
+    expires_at: float = 0.0
 
     @property
     def liability(self):
-        """How many requests it may have running, at worst."""
+        """The maximum number of requests that the borrower may have running."""
         return max(self.peak, self.in_flight)
 
 
@@ -43,46 +44,46 @@
     """The loans of one backend server.
 
     Attributes:
-      unknown_from: A float, when a former home may have been lost; for the
-        length of a loan and a run from then, every slot that is not accounted
-        for may be in use.
+      unaccounted_from: A float, when a former home may have been lost. For the
+        duration of a loan plus the longest run from then, every slot without a
+        recorded loan may be in use.
     """
 
     backend: Backend
-    unknown_from: float
+    unaccounted_from: float
     loans_by_id: dict[str, Loan] = msgspec.field(default_factory=dict)
 
 
 class Borrower(msgspec.Struct):
-    """What is known of one borrower."""
+    """The newest demand of one borrower and when it was received."""
 
     token: float
     heard_at: float
     demand: dict[str, dict[int, int]]
 
 
-def find_end(backend, heard_at):
-    """Find when nothing lent to a borrower can be running any more.
+def compute_loan_end(backend, heard_at):
+    """Compute when no request under a borrower's loan can still be running.
 
     Args:
       backend: A Backend.
-      heard_at: A float, when the borrower was last heard.
+      heard_at: A float, when the borrower was last heard from.
     Returns:
       A float.
     """
-    lasting_s = loans.LOAN_S + backend.max_run_s
-    return heard_at + lasting_s * clock.CLOCK_RATE_MARGIN
+    duration_s = loans.LOAN_S + backend.max_run_s
+    return heard_at + duration_s * clock.CLOCK_RATE_MARGIN
 
 
-def end_loans(ledger, now):
-    """End the loans of borrowers that were silent for long enough.
+def expire_loans(ledger, now):
+    """Remove the loans that have expired because their borrowers were silent.
 
     Args:
       ledger: A Ledger.
       now: A float.
     """
     for borrower_id, loan in list(ledger.loans_by_id.items()):
-        if now >= loan.over_at:
+        if now >= loan.expires_at:
             del ledger.loans_by_id[borrower_id]
 
 
@@ -97,8 +98,8 @@
     return sum(loan.liability for loan in ledger.loans_by_id.values())
 
 
-def count_unknown(ledger, now):
-    """Count the slots that a lost home may have lent to whom nobody knows.
+def count_unaccounted(ledger, now):
+    """Count the slots that a lost home may have lent to unknown borrowers.
 
     Args:
       ledger: A Ledger.
@@ -106,6 +107,6 @@
     Returns:
       An int.
     """
-    if now >= find_end(ledger.backend, ledger.unknown_from):
+    if now >= compute_loan_end(ledger.backend, ledger.unaccounted_from):
         return 0
     return max(0, ledger.backend.slots - count_liable(ledger))
--- a/thornport/routing/lender.py
+++ b/thornport/routing/lender.py
@@ -1,12 +1,12 @@
-"""The home's side of slot sharing: what is lent to whom.
+"""The home's side of slot sharing: lends slots of backend servers to entries.
 
-Each backend server has one home among the entries, and only its home lends
-its slots. A loan is a limit on what a borrower may have running there, with a
-deadline. A lowered limit frees slots only when the borrower has confirmed it
-and its requests have ended; a silent borrower's loan ends at its deadline
+Each backend server has one home among the entries, and only its home lends its
+slots. A loan limits the requests that a borrower may have running there, and has a
+deadline. A lowered limit frees slots only when the borrower has confirmed it and the
+requests above it have ended. The loan of a silent borrower expires at its deadline
 plus the longest run of a request.
 
-Pure: messages and time in, messages out.
+This module does no I/O: it takes messages and times and returns messages.
 """
 
 from thornport.kernel import clock
@@ -14,47 +14,47 @@
 from thornport.routing import homes, ledgers, loans, shares
 
 UNKNOWN_BORROWER = "unknown"
-# How long a slot is lent where entries take turns: five looks of a home
-# (entry.sharing.TICK_S), so that moving it costs little of its use. With half as many
-# slots as entries, each has its turn within a second.
+# Duration of one turn where entries share a slot by turns: five ticks of a home
+# (entry.sharing.TICK_S), so that moving the slot costs little of its use. With half as
+# many slots as entries, each entry gets a turn within a second.
 TURN_S = 0.25
 
 
 class Lender:
-    """The ledgers of one home.
+    """Lends the slots of the backend servers that one entry is the home of.
 
     Attributes:
-      ledgers_by_address: A dict of Ledger.
+      ledgers_by_address: A dict of ledgers.Ledger.
     """
 
     def __init__(self, me):
-        """Start with nothing to lend.
+        """Start without backend servers.
 
         Args:
-          me: A str, the member id.
+          me: A str, the member id of this process.
         """
         self._me = me
         self._homes = homes.Homes()
         self._settling = settling.Settling(me)
-        self._opened_epoch = 0
+        self._settled_epoch = 0
         self._next_seq = 0
-        self._unknown_from = float("-inf")
+        self._unaccounted_from = float("-inf")
         self._known_lost = frozenset()
         self._backends_by_address = {}
         self._row_by_service = {}
         self._borrowers_by_id = {}
-        # What was handed over is kept until it has run out, since the answer
-        # that carries it may be lost and asked for again.
+        # Ledgers that were handed over stay here until their loans have expired,
+        # since the Handoff may be lost and requested again.
         self._released_by_address = {}
         self.ledgers_by_address = {}
 
     @property
     def is_settled(self):
-        """Whether every former home has let go of what is now this one's."""
-        return 0 < self._opened_epoch == self._homes.ring.epoch
+        """Whether every former home has handed over its loans or been given up."""
+        return 0 < self._settled_epoch == self._homes.ring.epoch
 
     def take_ring(self, ring, now):
-        """Take a new ring and find out whom to ask for what is now ours.
+        """Apply a new ring and determine which former homes to send a Takeover.
 
         Args:
           ring: A record.Ring of a higher epoch.
@@ -64,13 +64,13 @@
         self._homes = homes.Homes(ring)
         lost = frozenset(entry.member_id for entry in ring.lost)
         if lost - self._known_lost or (first and lost):
-            self._unknown_from = now
+            self._unaccounted_from = now
         self._known_lost |= lost
         self._settling.take_ring(ring, now)
         self._settle_if_done(now)
 
     def list_to_ask(self, now):
-        """List the members whose word is awaited.
+        """List the former homes whose Handoff is awaited.
 
         Args:
           now: A float.
@@ -79,13 +79,13 @@
         """
         awaited, given_up = self._settling.list_to_ask(now)
         if given_up:
-            # They have left and handed nothing over after all.
-            self._unknown_from = now
+            # These members have left without handing over their loans.
+            self._unaccounted_from = now
         self._settle_if_done(now)
         return awaited
 
     def take_handoff(self, sender_id, handoff, now):
-        """Take over the loans of a former home.
+        """Import the loans of a former home.
 
         Args:
           sender_id: A str.
@@ -97,39 +97,39 @@
             return
         for address, handed_by_id in handoff.by_backend.items():
             self._import_loans(address, handed_by_id, now)
-        self._settling.take_word(sender_id)
+        self._settling.mark_answered(sender_id)
         self._settle_if_done(now)
 
     def _import_loans(self, address, handed_by_id, now):
         backend = self._backends_by_address.get(address)
         if backend is None:
             backend = ledgers.Backend(address, "", 0, 0.0)
-        # Another member may have been the last home and be lost, even where
-        # an earlier one hands something over.
+        # The last home may be lost even if an earlier home hands loans over, so
+        # slots may be unaccounted for here too.
         ledger = self.ledgers_by_address.setdefault(
-            address, ledgers.Ledger(backend, self._unknown_from)
+            address, ledgers.Ledger(backend, self._unaccounted_from)
         )
         for borrower, handed in handed_by_id.items():
-            over_at = clock.compute_deadline(handed.remaining_ms, now)
+            expires_at = clock.compute_deadline(handed.remaining_ms, now)
             loan = ledger.loans_by_id.setdefault(borrower, ledgers.Loan())
             loan.peak = max(loan.peak, handed.liability)
-            loan.over_at = max(loan.over_at, over_at)
+            loan.expires_at = max(loan.expires_at, expires_at)
 
     def _settle_if_done(self, now):
         if not self._settling.is_settled or self.is_settled:
             return
-        self._opened_epoch = self._homes.ring.epoch
+        self._settled_epoch = self._homes.ring.epoch
         self._open_ledgers(now)
 
     def answer_takeover(self, sender_id, takeover, now):
-        """Let go of what is the sender's in the ring known here.
+        """Hand over the loans of the backend servers whose home is now the sender.
 
         Args:
           sender_id: A str.
           takeover: A loans.Takeover.
           now: A float.
         Returns:
-          A loans.Handoff, or None if this process knows another ring.
+          A loans.Handoff, or None if this process has another ring.
         """
         if not takeover.epoch or takeover.epoch != self._homes.ring.epoch:
             return None
@@ -148,27 +148,27 @@
         return loans.Handoff(takeover.epoch, handed)
 
     def _hand_over(self, ledger, now):
-        """List every loan, the unaccounted slots among them."""
-        ledgers.end_loans(ledger, now)
+        """List all loans, with the unaccounted slots as one more loan."""
+        ledgers.expire_loans(ledger, now)
         handed = {
             borrower: loans.HandedLoan(
-                loan.liability, clock.compute_remaining_ms(loan.over_at, now)
+                loan.liability, clock.compute_remaining_ms(loan.expires_at, now)
             )
             for borrower, loan in ledger.loans_by_id.items()
         }
-        unknown = ledgers.count_unknown(ledger, now)
+        unknown = ledgers.count_unaccounted(ledger, now)
         if unknown:
             left_ms = clock.compute_remaining_ms(
-                ledgers.find_end(ledger.backend, ledger.unknown_from), now
+                ledgers.compute_loan_end(ledger.backend, ledger.unaccounted_from), now
             )
             handed[UNKNOWN_BORROWER] = loans.HandedLoan(unknown, left_ms)
         return handed
 
     def take_backends(self, backends_by_address, now):
-        """Take the backend servers that may be lent.
+        """Set the backend servers whose slots may be lent.
 
         Args:
-          backends_by_address: A dict of Backend, those leaving left out.
+          backends_by_address: A dict of Backend, without those that are leaving.
           now: A float.
         """
         self._backends_by_address = backends_by_address
@@ -188,26 +188,27 @@
                 continue
             ledger = self.ledgers_by_address.get(address)
             if ledger is None:
-                ledger = ledgers.Ledger(backend, self._unknown_from)
+                ledger = ledgers.Ledger(backend, self._unaccounted_from)
                 self.ledgers_by_address[address] = ledger
-            # Whoever was home in between may never have taken this over.
+            # A home in between may never have received the Handoff of these loans.
             released = self._released_by_address.pop(address, None)
             if released:
                 self._import_loans(address, self._hand_over(released, now), now)
             ledger.backend = backend
 
     def take_demand(self, borrower_id, demand, now):
-        """Take what a borrower says and renew its loans.
+        """Apply a borrower's demand and renew its loans.
 
         Args:
           borrower_id: A str.
           demand: A loans.Demand.
           now: A float.
         Returns:
-          A loans.Grants for it, or None for a message out of order.
+          A loans.Grants for the borrower, or None if the message is out of order or
+          this home is not settled.
         """
-        known = self._borrowers_by_id.get(borrower_id)
-        if known and demand.token <= known.token:
+        previous = self._borrowers_by_id.get(borrower_id)
+        if previous and demand.token <= previous.token:
             return None
         self._borrowers_by_id[borrower_id] = ledgers.Borrower(
             demand.token, now, demand.demand
@@ -223,9 +224,9 @@
     def _take_hold(self, ledger, borrower_id, hold, now):
         loan = ledger.loans_by_id.setdefault(borrower_id, ledgers.Loan())
         loan.in_flight = hold.in_flight
-        loan.over_at = ledgers.find_end(ledger.backend, now)
-        # A loan handed over has no grant of this home yet (seq 0); a hold of
-        # seq 0 says only that the former home's grant is still on its way.
+        loan.expires_at = ledgers.compute_loan_end(ledger.backend, now)
+        # An imported loan has no grant of this home yet (seq 0); a hold with seq 0
+        # only shows that the former home's grant is still in transit.
         if loan.seq and hold.seq == loan.seq:
             loan.peak = loan.limit
 
@@ -237,23 +238,25 @@
             if loan is None or self._homes.find(address) != self._me:
                 continue
             if loan.limit:
-                loan.over_at = ledgers.find_end(ledger.backend, borrower.heard_at)
+                loan.expires_at = ledgers.compute_loan_end(
+                    ledger.backend, borrower.heard_at
+                )
             by_backend[address] = loans.Grant(loan.seq, loan.limit)
         ttl_ms = int(loans.LOAN_S * clock.MS_PER_S)
         return loans.Grants(borrower.token, ttl_ms, by_backend)
 
     def rebalance(self, now):
-        """Move limits towards what the demands call for.
+        """Adjust limits towards the shares that the demands call for.
 
         Args:
           now: A float.
         Returns:
-          A dict from borrower to loans.Grants, for those whose limits moved.
+          A dict from borrower to loans.Grants, for those whose limits changed.
         """
         if not self.is_settled:
             return {}
-        self._forget_silent(now)
-        moved = set()
+        self._remove_silent_borrowers(now)
+        changed = set()
         allotment_by_service = {}
         for address, ledger in self.ledgers_by_address.items():
             if address not in self._backends_by_address:
@@ -265,56 +268,58 @@
                 targets = allotment_by_service[service].count_by_id(address)
             else:
                 continue
-            moved |= self._move_limits(ledger, targets, now)
-        heard = moved & self._borrowers_by_id.keys()
+            changed |= self._adjust_limits(ledger, targets, now)
+        heard = changed & self._borrowers_by_id.keys()
         return {borrower: self._make_grants(borrower) for borrower in sorted(heard)}
 
     def _allot(self, service, now):
-        """Allot the slots of a service to the borrowers that were heard."""
+        """Assign the slots of a service to the borrowers that were heard."""
         row = self._row_by_service[service]
         demand_by_id = {
             borrower_id: borrower.demand.get(service, {})
             for borrower_id, borrower in self._borrowers_by_id.items()
         }
         share_by_id = shares.share_slots(row.total, demand_by_id)
-        # Slots change hands by turns only where somebody would else go without.
+        # Slots rotate only if a borrower with demand would otherwise get none.
         is_short = shares.is_short(share_by_id, demand_by_id)
         turn = int(now / TURN_S) if is_short else 0
         return shares.Allotment(row, share_by_id, turn)
 
-    def _move_limits(self, ledger, targets, now):
-        """Lower first; raise only by what is surely free."""
-        ledgers.end_loans(ledger, now)
-        moved = set()
-        # An older home knew less than the last, and the last may be lost; then
-        # nothing is granted on the word of what was handed over.
-        is_known = now >= ledgers.find_end(ledger.backend, ledger.unknown_from)
+    def _adjust_limits(self, ledger, targets, now):
+        """Lower limits first; raise others only by slots that are certainly free."""
+        ledgers.expire_loans(ledger, now)
+        changed = set()
+        # Loans handed over by an older home may be incomplete if the last home is
+        # lost. No limit is based on them while slots may be unaccounted for.
+        is_known = now >= ledgers.compute_loan_end(
+            ledger.backend, ledger.unaccounted_from
+        )
         is_sound = is_known and ledgers.count_liable(ledger) <= ledger.backend.slots
         for borrower_id, loan in ledger.loans_by_id.items():
             target = targets.get(borrower_id, 0)
-            # A loan handed over is bounded here only once its borrower has
-            # taken a grant of this home.
+            # An imported loan is bound by this home's limit only once its borrower
+            # has applied a grant of this home.
             if target < loan.limit or (loan.peak and not loan.seq):
                 self._set_limit(loan, min(target, loan.peak) if is_sound else 0)
-                moved.add(borrower_id)
+                changed.add(borrower_id)
         free = (
             ledger.backend.slots
             - ledgers.count_liable(ledger)
-            - ledgers.count_unknown(ledger, now)
+            - ledgers.count_unaccounted(ledger, now)
         )
         for borrower_id, target in targets.items():
             if free <= 0:
                 break
             loan = ledger.loans_by_id.setdefault(borrower_id, ledgers.Loan())
-            # What it is already liable for may be lent to it at no cost.
+            # Slots that the borrower may already be using can be lent to it for free.
             raised = min(target, loan.liability + free)
             if raised > loan.limit:
                 before = loan.liability
                 self._set_limit(loan, raised)
                 loan.peak = max(loan.peak, raised)
                 free -= loan.liability - before
-                moved.add(borrower_id)
-        return moved
+                changed.add(borrower_id)
+        return changed
 
     def _set_limit(self, loan, limit):
         self._next_seq += 1
@@ -322,13 +327,13 @@
         loan.limit = limit
         loan.peak = max(loan.peak, limit)
 
-    def _forget_silent(self, now):
+    def _remove_silent_borrowers(self, now):
         for borrower_id, borrower in list(self._borrowers_by_id.items()):
             if now >= borrower.heard_at + loans.LOAN_S:
                 del self._borrowers_by_id[borrower_id]
 
     def list_addresses(self):
-        """List the backend servers that this process is the home of.
+        """List the addresses of the backend servers whose home is this process.
 
         Returns:
           A list of str.
