--- a/thornport/cell/decisions/crashes_test.py
+++ b/thornport/cell/decisions/crashes_test.py
@@ -1,11 +1,8 @@
 """Tests that a task is given up which crashes each worker that starts it.
 
-Guards against restarting such a task without end. Two jobs each crashed a worker every
-3.3 s for two minutes, up to run 35 and through five owners: the worker was gone 0.010 s
-after the start, its next incarnation had its address after 3.2 s, and the next start
-came 0.13 s later. Only an end `failed` that a worker lists counts as an attempt, and a
-crashed worker lists none. The world asserts that no start comes after five crashes,
-whether the owner stays or is replaced.
+Guards against restarting such a task without end: only an end `failed` that a worker
+lists counts as an attempt, and a crashed worker lists none. The world asserts that no
+start comes after five crashes, whether the owner stays or is replaced.
 """
 
 import itertools
@@ -218,8 +215,8 @@
     """A worker with many tasks of a step is lost under an owner that started none.
 
     Any of the tasks may have just begun, so each is a suspect. Guards against trying
-    them one after the other, 0.5 s each: sixteen took more than 8 s to run again, and
-    users allow a lasting task 6 s.
+    them one after the other: at 0.5 s each, sixteen tasks take longer to run again than
+    the 6 s that users allow a lasting task.
     """
 
     def lose(self, crashing=(), lasting=False, count=40):
--- a/thornport/cell/decisions/ending_test.py
+++ b/thornport/cell/decisions/ending_test.py
@@ -148,11 +148,13 @@
         world.run(1)
         self.assertTrue(self.find_places(world))
         world.cancelled["a"] = world.now
-        kept = record.close_job(world.jobs_by_id["a"], record.JobState.CANCELLED)
+        closed_record = record.close_job(
+            world.jobs_by_id["a"], record.JobState.CANCELLED
+        )
         for is_forgotten in (False, True):
             with self.subTest(is_forgotten=is_forgotten):
                 world.progress_by_id.pop("a", None)
-                world.jobs_by_id = {} if is_forgotten else {"a": kept}
+                world.jobs_by_id = {} if is_forgotten else {"a": closed_record}
                 self.replace_owner(world)
                 world.run(5)
                 self.assertEqual(self.find_places(world), [])
@@ -184,8 +186,8 @@
                 world.cut |= set(places)
                 world.cancel("a")
                 world.run(0.2)
-                kept = record.decode_progress(world.progress_by_id["a"])
-                self.assertEqual(kept.state, record.JobState.CANCELLED)
+                progress = record.decode_progress(world.progress_by_id["a"])
+                self.assertEqual(progress.state, record.JobState.CANCELLED)
                 self.replace_owner(world)
                 for worker_id in places:
                     world.reach_again(worker_id)
--- a/thornport/cell/decisions/incarnations_test.py
+++ b/thornport/cell/decisions/incarnations_test.py
@@ -1,14 +1,9 @@
 """Tests of workers that restart, under their own id or under another.
 
-Guards against applying the state of one incarnation of a worker, known by its id alone,
-to the next. In one incident, a restarted worker numbered its ends from 1 again; the
-owner had seen numbers above 30, ignored the ends as known and acknowledged them. After
-1.5 s the tasks counted as stalled, and they ran a second time although they were done.
-In another, tasks never restarted: a run that an answering worker neither listed nor
-reported as ended counted as a start in transit.
-
-The world asserts at each start that no task runs twice at once, after a recorded end as
-done, or after too many recorded failures.
+Guards against knowing a worker by its id alone: a new incarnation's ends, numbered from
+1 again, then count as known, so done tasks run twice; runs that it does not list count
+as starts in transit and never restart. The world asserts at each start that no task
+runs twice at once, after a recorded end as done, or after too many recorded failures.
 """
 
 import random
@@ -287,11 +282,9 @@
 class IncarnationsUnderOtherIds(unittest.TestCase):
     """A worker restarts under another id, and its earlier entry is written again.
 
-    Guards against taking the later write for the later incarnation. When workers were
-    partitioned and restarted meanwhile, entries of earlier incarnations were written 1
-    to 2 s late, with higher revisions than those of the present ones, and ended these
-    at once. Their runs counted as lost 0.2 s after the start, were started elsewhere
-    and got crash points, while the workers went on and reported them as done.
+    Guards against taking the later write for the later incarnation. A late entry of the
+    earlier incarnation has a higher revision than that of the present one; if it ends
+    the present one, runs there count as lost and start elsewhere while they go on.
     """
 
     def setUp(self):
--- a/thornport/cell/decisions/repeating_test.py
+++ b/thornport/cell/decisions/repeating_test.py
@@ -1,10 +1,8 @@
 """Tests of jobs that repeat by the clock, and of takeovers among their runs.
 
-After a power loss of all processes, accepted jobs stalled with most of the capacity
-free. A record names only the steps of a time that have begun. A successor restored just
-these, so later steps never existed, and each report of the end of the step before them
-was an error. If another step had begun but not the first, the time began again while
-its tasks ran.
+A record names only the steps of a time that have begun. Guards against a successor that
+restores just these: later steps never start, and a time of which another step has begun
+but not the first begins again while its tasks run.
 """
 
 import random
--- a/thornport/cell/decisions/suspects_test.py
+++ b/thornport/cell/decisions/suspects_test.py
@@ -1,11 +1,9 @@
 """Tests of workers on which runs fail or stall, and of jobs that only they may run.
 
-Accepted jobs waited 4 s and longer beside idle workers. Few workers were permitted for
-them, and on these two tasks in a row of jobs that always fail had failed, which barred
-a worker from starts until 4 s after the last failure. The logs of three days showed
-that every permitted worker was avoided in that time. Users allow a job of which nothing
-runs to wait 3 s while a task is due, there is capacity for it twice over and most of
-the capacity is free.
+Guards against a job that waits beside idle workers because failed or stalled runs have
+made each worker that it may use suspect. Users allow a job of which nothing runs to
+wait 3 s while a task is due, there is capacity for it twice over and most of the
+capacity is free.
 """
 
 import random
--- a/thornport/cell/decisions/takeover_test.py
+++ b/thornport/cell/decisions/takeover_test.py
@@ -1,8 +1,8 @@
 """Tests of how long tasks wait when the owner is replaced.
 
 A worker falls silent, and its owner is replaced while it waits for the leases there to
-lapse. A successor that counted from its own start waited for the longest lease again: a
-task lost 4 s before a takeover waited 10.3 s, and 7.5 s under one owner.
+lapse. Guards against a successor that counts from its own start and so waits for the
+longest lease again.
 
 The simulated cell asserts at each start that no task runs twice at a time.
 """
@@ -96,9 +96,8 @@
 class WaitsAcrossTakeovers(unittest.TestCase):
     """A job waits beside reserved capacity, and its owner is replaced.
 
-    Users allow a wait of 3 s. One owner lets the job use the capacity after 1.8 s; a
-    successor that restarted this wait kept it waiting for 3.65 s after one takeover and
-    4.95 s after two.
+    One owner lets the job use the capacity after 1.8 s. Guards against a successor that
+    restarts this wait: the job then waits for longer than the 3 s that users allow.
     """
 
     def submit_beside_waiting_gang(self, accepted_ago_s=0.0, **more):
--- a/thornport/platform/workers_test.py
+++ b/thornport/platform/workers_test.py
@@ -86,11 +86,10 @@
 class Restarts(unittest.TestCase):
     """A worker that restarts under the same id between two polls.
 
-    Guards against tasks that run again after their ends were recorded, seen in soaks
-    with series of worker restarts. A start command reached the new incarnation on a new
-    connection before the owner knew of it. The next poll used that connection and sent
-    `last_seen` of the earlier incarnation; the new one took the number for its own and
-    discarded the end of the task that it had just run.
+    Guards against tasks that run again after their ends were recorded. A start command
+    reaches the new incarnation on a new connection before the owner knows of it; if the
+    next poll there sends `last_seen` of the earlier incarnation, the new one takes the
+    number for its own and discards the end of the task that it has just run.
     """
 
     address = "10.0.0.9:80"
